--- a/stackhall-core/src/main/java/io/stackhall/core/replication/Elections.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/Elections.java
@@ -8,28 +8,28 @@
 final class Elections {
 
     private final ReplicaState state;
-    private final Leadership leadership;
+    private final LeaderRole leaderRole;
     private final Set<ReplicaId> granted = new HashSet<>();
 
-    Elections(ReplicaState state, Leadership leadership) {
+    Elections(ReplicaState state, LeaderRole leaderRole) {
         this.state = state;
-        this.leadership = leadership;
+        this.leaderRole = leaderRole;
     }
 
     void tick(long now) {
         if (state.electionDue(now)) {
-            stand(false, now);
+            startElection(false, now);
         }
     }
 
     /** Stands for election: by a pre-vote first, or at once when the leader asks for it. */
-    void stand(boolean transfer, long now) {
+    void startElection(boolean transfer, long now) {
         state.resetElectionDeadline(now);
         if (state.role() == Role.LEADER) {
             return;
         }
         state.leader(Optional.empty());
-        if (!state.voter() || state.fresh()) {
+        if (!state.isVoter() || state.emptyLog()) {
             return;
         }
         granted.clear();
@@ -37,14 +37,14 @@
             campaign(true, now);
         } else {
             state.changeRole(Role.PRE_CANDIDATE);
-            ask(state.term() + 1, true, false);
-            countOwn(now);
+            requestVotes(state.term() + 1, true, false);
+            voteForSelf(now);
         }
     }
 
-    void request(Message message, Message.VoteRequest request, long now) {
-        boolean leased = leaseStands(now) && !request.transfer();
-        if (leased || message.term() < state.term()) {
+    void handleVoteRequest(Message message, Message.VoteRequest request, long now) {
+        boolean leaseHeld = leaseMayBeHeld(now) && !request.transfer();
+        if (leaseHeld || message.term() < state.term()) {
             if (message.term() < state.term()) {
                 replyVote(message, state.term(), false, request.preVote());
             }
@@ -59,36 +59,37 @@
         if (message.term() > state.term()) {
             state.becomeFollower(message.term(), Optional.empty());
         }
-        boolean free =
-                state.hard().vote().isEmpty() || state.hard().vote().get().equals(message.from());
-        boolean grant = complete && free;
+        boolean canVote =
+                state.hardState().vote().isEmpty()
+                        || state.hardState().vote().get().equals(message.from());
+        boolean grant = complete && canVote;
         if (grant) {
-            state.saveHard(state.hard().withVote(message.from()));
+            state.saveHardState(state.hardState().withVote(message.from()));
             state.resetElectionDeadline(now);
         }
         replyVote(message, state.term(), grant, false);
     }
 
-    void reply(Message message, Message.VoteReply reply, long now) {
+    void handleVoteReply(Message message, Message.VoteReply reply, long now) {
         if (!reply.granted()) {
             if (message.term() > state.term()) {
                 state.becomeFollower(message.term(), Optional.empty());
             }
             return;
         }
-        boolean awaited =
+        boolean expected =
                 reply.preVote()
                         ? state.role() == Role.PRE_CANDIDATE && message.term() == state.term() + 1
                         : state.role() == Role.CANDIDATE && message.term() == state.term();
-        if (awaited && state.membership().voters().contains(message.from())) {
+        if (expected && state.membership().voters().contains(message.from())) {
             granted.add(message.from());
-            count(now);
+            countVotes(now);
         }
     }
 
-    private boolean leaseStands(long now) {
+    private boolean leaseMayBeHeld(long now) {
         if (state.role() == Role.LEADER) {
-            return leadership.holdsLease(now);
+            return leaderRole.holdsLease(now);
         }
         return state.withinGrantedLease(now);
     }
@@ -107,13 +108,13 @@
 
     private void campaign(boolean transfer, long now) {
         state.changeRole(Role.CANDIDATE);
-        state.saveHard(state.hard().withTerm(state.term() + 1).withVote(state.self()));
+        state.saveHardState(state.hardState().withTerm(state.term() + 1).withVote(state.self()));
         granted.clear();
-        ask(state.term(), false, transfer);
-        countOwn(now);
+        requestVotes(state.term(), false, transfer);
+        voteForSelf(now);
     }
 
-    private void ask(long term, boolean preVote, boolean transfer) {
+    private void requestVotes(long term, boolean preVote, boolean transfer) {
         EntryLog log = state.log();
         for (ReplicaId voter : state.membership().voters()) {
             if (!voter.equals(state.self())) {
@@ -126,12 +127,12 @@
         }
     }
 
-    private void countOwn(long now) {
+    private void voteForSelf(long now) {
         granted.add(state.self());
-        count(now);
+        countVotes(now);
     }
 
-    private void count(long now) {
+    private void countVotes(long now) {
         long votes = state.membership().voters().stream().filter(granted::contains).count();
         if (votes < state.membership().quorum()) {
             return;
@@ -139,7 +140,7 @@
         if (state.role() == Role.PRE_CANDIDATE) {
             campaign(false, now);
         } else if (state.role() == Role.CANDIDATE) {
-            leadership.begin(now);
+            leaderRole.begin(now);
         }
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/EntryLog.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/EntryLog.java
@@ -87,7 +87,7 @@
     }
 
     /** Replaces the whole log by a snapshot taken elsewhere. */
-    void reset(Snapshot replacement) {
+    void replaceWith(Snapshot replacement) {
         entries.clear();
         memberships.clear();
         snapshot = replacement;
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/Progress.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/FollowerProgress.java
@@ -1,16 +1,16 @@
 package io.stackhall.core.replication;
 
 /** What a leader knows of one other replica's log. */
-final class Progress {
+final class FollowerProgress {
 
     private long matchIndex;
     private long nextIndex;
     private long acknowledgedRound;
     private long lastReply;
     private boolean replied;
-    private long sentSnapshotAt;
+    private long snapshotSentAt;
 
-    Progress(long nextIndex) {
+    FollowerProgress(long nextIndex) {
         this.nextIndex = nextIndex;
     }
 
@@ -31,38 +31,38 @@
         return replied && now - lastReply < nanos;
     }
 
-    void answered(long round, long now) {
+    void recordReply(long round, long now) {
         acknowledgedRound = Math.max(acknowledgedRound, round);
         lastReply = now;
         replied = true;
     }
 
-    void matched(long index) {
+    void recordMatch(long index) {
         matchIndex = Math.max(matchIndex, index);
         nextIndex = Math.max(nextIndex, matchIndex + 1);
-        sentSnapshotAt = 0;
+        snapshotSentAt = 0;
     }
 
-    void rejected(long lastIndexOfReplica) {
+    void recordRejection(long lastIndexOfReplica) {
         nextIndex = Math.max(matchIndex + 1, Math.min(nextIndex - 1, lastIndexOfReplica + 1));
     }
 
     /** Notes that entries up to an index are on their way. */
-    void sent(long upTo) {
+    void recordSent(long upTo) {
         nextIndex = Math.max(nextIndex, upTo + 1);
     }
 
     /** Forgets what is on its way and starts again behind what is known to match. */
-    void resend() {
+    void rewindToMatch() {
         nextIndex = matchIndex + 1;
     }
 
     /** Returns whether a snapshot should be sent now rather than awaited. */
     boolean snapshotDue(long retryNanos, long now) {
-        return sentSnapshotAt == 0 || now - sentSnapshotAt >= retryNanos;
+        return snapshotSentAt == 0 || now - snapshotSentAt >= retryNanos;
     }
 
-    void snapshotSent(long now) {
-        sentSnapshotAt = now;
+    void recordSnapshotSent(long now) {
+        snapshotSentAt = now;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/Following.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/FollowerRole.java
@@ -4,15 +4,15 @@
 import java.util.Optional;
 
 /** What a replica does with a leader's entries and snapshots. */
-final class Following {
+final class FollowerRole {
 
     private final ReplicaState state;
 
-    Following(ReplicaState state) {
+    FollowerRole(ReplicaState state) {
         this.state = state;
     }
 
-    void append(Message message, Message.AppendRequest request, long now) {
+    void handleAppendRequest(Message message, Message.AppendRequest request, long now) {
         if (!acceptLeader(message, now)) {
             return;
         }
@@ -27,11 +27,11 @@
             reply(message, false, Math.max(hint, 0), request.round());
             return;
         }
-        store(request.entries());
+        appendNewEntries(request.entries());
         long matched = request.previousIndex() + request.entries().size();
         state.commitUpTo(Math.min(request.commit(), matched));
         if (matched >= request.commit()) {
-            noteCaughtUp(message.term());
+            checkCaughtUp(message.term());
         }
         reply(message, true, matched, request.round());
     }
@@ -40,14 +40,14 @@
      * A leader knows all that was committed before it only once an entry of its own term is. Until
      * then its commit index may lie far behind.
      */
-    private void noteCaughtUp(long leaderTerm) {
+    private void checkCaughtUp(long leaderTerm) {
         if (state.log().termAt(state.commit()) == leaderTerm) {
             state.caughtUp();
         }
     }
 
     /** Takes a snapshot; entries that are held already were acknowledged and must stay. */
-    void install(Message message, Message.SnapshotRequest request, long now) {
+    void handleSnapshotRequest(Message message, Message.SnapshotRequest request, long now) {
         if (!acceptLeader(message, now)) {
             return;
         }
@@ -67,12 +67,12 @@
             return false;
         }
         state.becomeFollower(message.term(), Optional.of(message.from()));
-        state.heardFromLeader(now);
+        state.recordLeaderContact(now);
         return true;
     }
 
     /** Appends what is new; drops the own entries that conflict. */
-    private void store(List<Entry> entries) {
+    private void appendNewEntries(List<Entry> entries) {
         EntryLog log = state.log();
         int known = 0;
         while (known < entries.size()
@@ -91,7 +91,7 @@
         if (first <= log.lastIndex()) {
             log.truncateFrom(first);
         }
-        state.appendOwn(List.copyOf(added));
+        state.appendLocally(List.copyOf(added));
     }
 
     private void reply(Message message, boolean success, long matchIndex, long round) {
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/Formations.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/GroupFormation.java
@@ -15,132 +15,132 @@
  * missing are known to have lost their memory. A replica that holds no entry never stands for
  * election, so the founder's log is the one that is kept.
  */
-final class Formations {
+final class GroupFormation {
 
     /** Answers to older asks than this many before the last one are forgotten. */
-    private static final int REMEMBERED_ASKS = 6;
+    private static final int RETAINED_REQUESTS = 6;
 
-    private static final long FIRST_TERM = 1;
+    private static final long TERM_INCREMENT = 1;
 
     private final ReplicaState state;
-    private final Map<String, Hello> heard = new HashMap<>();
-    private final Map<String, Hello> answered = new HashMap<>();
+    private final Map<String, Hello> latestHellos = new HashMap<>();
+    private final Map<String, Hello> latestAnswers = new HashMap<>();
     private long nextHello;
-    private long lastAsk;
-    private long firstValidAsk = 1;
-    private long settledAt;
+    private long lastRequest;
+    private long firstValidRequest = 1;
+    private long electionWaitEnd;
 
-    Formations(ReplicaState state, long now) {
+    GroupFormation(ReplicaState state, long now) {
         this.state = state;
-        this.settledAt = now;
+        this.electionWaitEnd = now;
         this.nextHello = now;
     }
 
     /** Notes who a host's replica is, and answers. */
-    void hear(Hello hello, long now) {
-        heard.put(hello.replica().host(), hello);
+    void receiveHello(Hello hello, long now) {
+        latestHellos.put(hello.replica().host(), hello);
         if (hello.answers() != 0) {
-            answered.put(hello.replica().host(), hello);
+            latestAnswers.put(hello.replica().host(), hello);
         }
         if (hello.ask() != 0) {
             Hello answer = ownHello(0, hello.ask());
-            state.emit(new ReplicaEffect.Answer(hello.replica().host(), answer));
+            state.emit(new ReplicaEffect.SendHello(hello.replica().host(), answer));
         }
-        boolean strayed = hello.formation() != state.formation();
-        if (strayed && leads(hello.replica())) {
+        boolean differs = hello.formation() != state.formation();
+        if (differs && isLeaderOf(hello.replica())) {
             sendForm(hello.replica());
         }
     }
 
     void tick(long now) {
-        if (state.role() == Role.LEADER || (state.leader().isPresent() && state.voter())) {
-            firstValidAsk = lastAsk + 1;
+        if (state.role() == Role.LEADER || (state.leader().isPresent() && state.isVoter())) {
+            firstValidRequest = lastRequest + 1;
             return;
         }
-        considerForming(now);
+        formIfPossible(now);
         if (now - nextHello >= 0) {
             nextHello = now + state.settings().electionTimeout().toNanos() / 2;
-            lastAsk++;
-            state.emit(new ReplicaEffect.Announce(ownHello(lastAsk, 0)));
+            lastRequest++;
+            state.emit(new ReplicaEffect.BroadcastHello(ownHello(lastRequest, 0)));
         }
     }
 
     /** Returns whether a message from another formation makes this empty replica part of it. */
-    boolean adopts(Message message) {
+    boolean adoptFormation(Message message) {
         boolean fromLeader =
                 message.body() instanceof Message.SnapshotRequest
                         || message.body() instanceof Message.AppendRequest;
-        if (!state.fresh() || !fromLeader) {
+        if (!state.emptyLog() || !fromLeader) {
             return false;
         }
-        state.saveHard(new HardState(message.formation(), message.term(), Optional.empty()));
+        state.saveHardState(new HardState(message.formation(), message.term(), Optional.empty()));
         return true;
     }
 
-    void receive(Message message, Message.Form form, long now) {
+    void handleForm(Message message, Message.Form form, long now) {
         if (!form.membership().contains(state.self())
                 || message.formation() == state.formation()
-                || !yieldsTo(form)) {
+                || !accepts(form)) {
             return;
         }
         long term = Math.max(message.term(), state.term());
-        state.saveHard(new HardState(message.formation(), term, Optional.empty()));
+        state.saveHardState(new HardState(message.formation(), term, Optional.empty()));
         state.becomeFollower(term, Optional.empty());
         state.resetElectionDeadline(now);
-        settle(now);
+        awaitElection(now);
     }
 
-    private boolean yieldsTo(Message.Form form) {
-        if (state.fresh()) {
+    private boolean accepts(Message.Form form) {
+        if (state.emptyLog()) {
             return true;
         }
-        boolean theirsIsBetter =
+        boolean senderLogIsNewer =
                 compareLogs(form.lastTerm(), form.lastIndex(), lastTerm(), lastIndex()) >= 0;
-        return theirsIsBetter && quorumIsGone();
+        return senderLogIsNewer && quorumLost();
     }
 
-    private void considerForming(long now) {
+    private void formIfPossible(long now) {
         if (state.leader().isPresent()
-                || !founder()
-                || now - settledAt < 0
-                || !everyHostHeard()
-                || !best()
-                || (!state.fresh() && !quorumIsGone())) {
+                || !mayForm()
+                || now - electionWaitEnd < 0
+                || !everyHostAnswered()
+                || !preferredFounder()
+                || (!state.emptyLog() && !quorumLost())) {
             return;
         }
         List<ReplicaId> all = new ArrayList<>(List.of(state.self()));
-        answered.values().stream()
+        latestAnswers.values().stream()
                 .map(Hello::replica)
                 .filter(replica -> state.hosts().contains(replica.host()))
                 .forEach(all::add);
-        found(new Membership(all, List.of()), now);
+        form(new Membership(all, List.of()), now);
     }
 
-    private void found(Membership membership, long now) {
+    private void form(Membership membership, long now) {
         long formation = state.random().nextLong(1, Long.MAX_VALUE);
-        boolean lost = memoryLost();
-        long term = state.term() + FIRST_TERM;
-        state.saveHard(new HardState(formation, term, Optional.empty()));
+        boolean lossPossible = mayHaveLostCommands();
+        long term = state.term() + TERM_INCREMENT;
+        state.saveHardState(new HardState(formation, term, Optional.empty()));
         long index = state.log().lastIndex();
-        state.appendOwn(
+        state.appendLocally(
                 List.of(
                         new Entry(term, index + 1, new Payload.MembershipChange(membership)),
-                        new Entry(term, index + 2, new Payload.Reformed(lost))));
-        for (ReplicaId other : membership.othersThan(state.self())) {
+                        new Entry(term, index + 2, new Payload.Reformed(lossPossible))));
+        for (ReplicaId other : membership.allExcept(state.self())) {
             sendForm(other);
         }
         state.becomeFollower(term, Optional.empty());
-        state.standNow(now);
-        settle(now);
+        state.startElectionAtNextTick(now);
+        awaitElection(now);
     }
 
     /** Gives the new formation time to elect a leader. */
-    private void settle(long now) {
-        settledAt = now + 2 * state.settings().electionTimeout().toNanos();
-        firstValidAsk = lastAsk + 1;
+    private void awaitElection(long now) {
+        electionWaitEnd = now + 2 * state.settings().electionTimeout().toNanos();
+        firstValidRequest = lastRequest + 1;
     }
 
-    private boolean leads(ReplicaId replica) {
+    private boolean isLeaderOf(ReplicaId replica) {
         return state.role() == Role.LEADER && state.membership().contains(replica);
     }
 
@@ -153,39 +153,39 @@
      * Returns whether acknowledged commands may be missing: always after a survivor's founding, and
      * after a first one where no replica has a disk that would have kept them.
      */
-    private boolean memoryLost() {
-        if (!state.fresh()) {
+    private boolean mayHaveLostCommands() {
+        if (!state.emptyLog()) {
             return true;
         }
-        return !state.durable() && answered.values().stream().noneMatch(Hello::durable);
+        return !state.durable() && latestAnswers.values().stream().noneMatch(Hello::durable);
     }
 
     /** Returns whether every host has answered a recent ask of the time without a leader. */
-    private boolean everyHostHeard() {
-        long oldest = Math.max(firstValidAsk, lastAsk - REMEMBERED_ASKS);
+    private boolean everyHostAnswered() {
+        long oldest = Math.max(firstValidRequest, lastRequest - RETAINED_REQUESTS);
         return state.hosts().stream()
                 .filter(host -> !host.equals(state.self().host()))
                 .allMatch(host -> answeredSince(host, oldest));
     }
 
-    private boolean answeredSince(String host, long oldestAsk) {
-        Hello answer = answered.get(host);
+    private boolean answeredSince(String host, long oldestRequest) {
+        Hello answer = latestAnswers.get(host);
         return answer != null
-                && answer.answers() >= oldestAsk
-                && answer.replica().equals(heard.get(host).replica());
+                && answer.answers() >= oldestRequest
+                && answer.replica().equals(latestHellos.get(host).replica());
     }
 
     /** Returns whether this replica may found the group at all. */
-    private boolean founder() {
+    private boolean mayForm() {
         return state.hosts().contains(state.self().host());
     }
 
     /** Never where hosts come and go: one that is not heard of may still hold the log elsewhere. */
-    private boolean quorumIsGone() {
-        if (state.settings().open() || !everyHostHeard()) {
+    private boolean quorumLost() {
+        if (state.settings().dynamicMembership() || !everyHostAnswered()) {
             return false;
         }
-        long alive = state.membership().voters().stream().filter(this::alive).count();
+        long alive = state.membership().voters().stream().filter(this::mayHoldState).count();
         return alive < state.membership().quorum();
     }
 
@@ -193,19 +193,19 @@
      * A voter is known to be gone once its host has spoken with another incarnation. That is never
      * taken back, so an old message can delay the verdict but not falsify it.
      */
-    private boolean alive(ReplicaId voter) {
-        Hello latest = heard.get(voter.host());
+    private boolean mayHoldState(ReplicaId voter) {
+        Hello latest = latestHellos.get(voter.host());
         return voter.equals(state.self()) || (latest != null && latest.replica().equals(voter));
     }
 
     /** Returns whether no other host's replica has a better claim to found the group. */
-    private boolean best() {
-        return answered.values().stream()
+    private boolean preferredFounder() {
+        return latestAnswers.values().stream()
                 .filter(hello -> state.hosts().contains(hello.replica().host()))
-                .allMatch(this::notBetter);
+                .allMatch(this::precedes);
     }
 
-    private boolean notBetter(Hello other) {
+    private boolean precedes(Hello other) {
         int order = compareLogs(other.lastTerm(), other.lastIndex(), lastTerm(), lastIndex());
         if (order != 0) {
             return order < 0;
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/Hello.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/Hello.java
@@ -21,7 +21,7 @@
         long answers) {
 
     /** Returns whether the replica holds no entry of the group. */
-    public boolean fresh() {
+    public boolean emptyLog() {
         return lastIndex == 0;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/LeaderLease.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/LeaderLease.java
@@ -15,7 +15,7 @@
     private final long leaseNanos;
     private final TreeMap<Long, Long> sentAt = new TreeMap<>();
     private long round;
-    private long endsAt;
+    private long expiresAt;
     private boolean granted;
 
     LeaderLease(long leaseNanos) {
@@ -23,7 +23,7 @@
     }
 
     /** Forgets everything and starts with the first round of a new leadership. */
-    void restart() {
+    void reset() {
         sentAt.clear();
         granted = false;
     }
@@ -36,11 +36,11 @@
     }
 
     /** Renews the lease by what the voters have answered. */
-    void renew(Membership membership, ReplicaId self, Map<ReplicaId, Progress> progress) {
+    void renew(Membership membership, ReplicaId self, Map<ReplicaId, FollowerProgress> progress) {
         List<Long> answered = new ArrayList<>();
         for (ReplicaId voter : membership.voters()) {
-            Progress of = progress.get(voter);
-            answered.add(voter.equals(self) ? Long.valueOf(round) : acknowledged(of));
+            FollowerProgress follower = progress.get(voter);
+            answered.add(voter.equals(self) ? Long.valueOf(round) : acknowledged(follower));
         }
         if (answered.size() < membership.quorum()) {
             return;
@@ -51,7 +51,7 @@
             return;
         }
         granted = true;
-        endsAt = latest.getValue() + leaseNanos;
+        expiresAt = latest.getValue() + leaseNanos;
         sentAt.headMap(latest.getKey(), false).clear();
     }
 
@@ -59,20 +59,20 @@
         return granted;
     }
 
-    long endsAt() {
-        return endsAt;
+    long expiresAt() {
+        return expiresAt;
     }
 
-    boolean holds(long now) {
-        return granted && now - endsAt < 0;
+    boolean valid(long now) {
+        return granted && now - expiresAt < 0;
     }
 
     /** Returns whether the lease ended longer ago than a period, or was never granted. */
-    boolean lapsedFor(long nanos, long now) {
-        return granted && now - endsAt >= nanos;
+    boolean expiredFor(long nanos, long now) {
+        return granted && now - expiresAt >= nanos;
     }
 
-    private static long acknowledged(Progress progress) {
+    private static long acknowledged(FollowerProgress progress) {
         return progress == null ? 0 : progress.acknowledgedRound();
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/Leadership.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/LeaderRole.java
@@ -8,50 +8,50 @@
 import java.util.Optional;
 
 /** What a leader does: append, replicate, commit, keep its lease and change the membership. */
-final class Leadership {
+final class LeaderRole {
 
     private static final int SNAPSHOT_RETRY_HEARTBEATS = 10;
 
     private final ReplicaState state;
     private final LeaderLease lease;
-    private final MembershipChanges changes;
-    private final Map<ReplicaId, Progress> progress = new HashMap<>();
-    private long beganAt;
+    private final MembershipChangePlanner changes;
+    private final Map<ReplicaId, FollowerProgress> progress = new HashMap<>();
+    private long leaderSince;
     private long nextHeartbeat;
     private long firstOwnIndex;
     private boolean transferring;
 
-    Leadership(ReplicaState state) {
+    LeaderRole(ReplicaState state) {
         this.state = state;
         this.lease = new LeaderLease(state.settings().leaseNanos());
-        this.changes = new MembershipChanges(state);
+        this.changes = new MembershipChangePlanner(state);
     }
 
     void begin(long now) {
         state.changeRole(Role.LEADER);
         state.leader(Optional.of(state.self()));
         progress.clear();
-        lease.restart();
+        lease.reset();
         transferring = false;
-        beganAt = now;
-        changes.restart(now);
+        leaderSince = now;
+        changes.leadershipStarted(now);
         firstOwnIndex = state.log().lastIndex() + 1;
         appendAndSend(List.of(new Payload.Blank()), now);
     }
 
     void tick(long now) {
-        long patience = state.settings().electionTimeout().toNanos();
-        boolean neverGranted = !lease.granted() && now - beganAt >= 2 * patience;
-        if (neverGranted || lease.lapsedFor(patience, now)) {
+        long electionTimeout = state.settings().electionTimeout().toNanos();
+        boolean neverGranted = !lease.granted() && now - leaderSince >= 2 * electionTimeout;
+        if (neverGranted || lease.expiredFor(electionTimeout, now)) {
             stepDown();
             return;
         }
         if (now - nextHeartbeat >= 0) {
-            progress.values().forEach(Progress::resend);
+            progress.values().forEach(FollowerProgress::rewindToMatch);
             broadcast(now);
         }
         if (ready() && !transferring) {
-            changes.next(progress, now)
+            changes.nextChange(progress, now)
                     .ifPresent(
                             next ->
                                     appendAndSend(
@@ -59,8 +59,8 @@
         }
     }
 
-    void hear(Hello hello, long now) {
-        changes.hear(hello, now);
+    void receiveHello(Hello hello, long now) {
+        changes.receiveHello(hello, now);
     }
 
     void propose(List<ReplicaEvent.Proposal> proposals, long now) {
@@ -91,10 +91,10 @@
             refuse(ticket);
             return;
         }
-        switch (changes.remove(host, progress, now)) {
-            case MembershipChanges.Refused(String reason) ->
+        switch (changes.planRemoval(host, progress, now)) {
+            case MembershipChangePlanner.Refused(String reason) ->
                     state.emit(new ReplicaEffect.Refused(ticket, reason));
-            case MembershipChanges.Next(Membership next) -> {
+            case MembershipChangePlanner.Next(Membership next) -> {
                 long index = state.log().lastIndex() + 1;
                 state.emit(new ReplicaEffect.Accepted(ticket, state.term(), index));
                 appendAndSend(List.of(new Payload.MembershipChange(next)), now);
@@ -120,34 +120,34 @@
                 });
     }
 
-    void reply(Message message, Message.AppendReply reply, long now) {
+    void handleAppendReply(Message message, Message.AppendReply reply, long now) {
         if (message.term() > state.term()) {
             state.becomeFollower(message.term(), Optional.empty());
             return;
         }
-        Progress of = progress.get(message.from());
-        if (state.role() != Role.LEADER || message.term() < state.term() || of == null) {
+        FollowerProgress follower = progress.get(message.from());
+        if (state.role() != Role.LEADER || message.term() < state.term() || follower == null) {
             return;
         }
-        of.answered(reply.round(), now);
+        follower.recordReply(reply.round(), now);
         if (reply.success()) {
-            of.matched(Math.min(reply.matchIndex(), state.log().lastIndex()));
+            follower.recordMatch(Math.min(reply.matchIndex(), state.log().lastIndex()));
             commitByQuorum();
         } else {
-            of.rejected(reply.matchIndex());
+            follower.recordRejection(reply.matchIndex());
         }
         lease.renew(state.membership(), state.self(), progress);
-        if (of.nextIndex() <= state.log().lastIndex()) {
+        if (follower.nextIndex() <= state.log().lastIndex()) {
             sendTo(message.from(), lease.beginRound(now), now);
         }
     }
 
     boolean holdsLease(long now) {
-        return ready() && !transferring && lease.holds(now);
+        return ready() && !transferring && lease.valid(now);
     }
 
-    long leaseEnd() {
-        return lease.endsAt();
+    long leaseExpiry() {
+        return lease.expiresAt();
     }
 
     /** Returns whether an entry of the own term is committed, so that the commit index is right. */
@@ -156,8 +156,8 @@
     }
 
     private boolean caughtUp(ReplicaId voter) {
-        Progress of = progress.get(voter);
-        return of != null && of.matchIndex() == state.log().lastIndex();
+        FollowerProgress follower = progress.get(voter);
+        return follower != null && follower.matchIndex() == state.log().lastIndex();
     }
 
     private void stepDown() {
@@ -176,14 +176,14 @@
             index++;
             entries.add(new Entry(state.term(), index, payload));
         }
-        state.appendOwn(entries);
+        state.appendLocally(entries);
         broadcast(now);
         commitByQuorum();
     }
 
     private void broadcast(long now) {
         nextHeartbeat = now + state.settings().heartbeat().toNanos();
-        List<ReplicaId> others = state.membership().othersThan(state.self());
+        List<ReplicaId> others = state.membership().allExcept(state.self());
         progress.keySet().retainAll(others);
         long round = lease.beginRound(now);
         for (ReplicaId other : others) {
@@ -194,15 +194,16 @@
 
     private void sendTo(ReplicaId to, long round, long now) {
         EntryLog log = state.log();
-        Progress of = progress.computeIfAbsent(to, key -> new Progress(log.lastIndex() + 1));
-        long previous = of.nextIndex() - 1;
+        FollowerProgress follower =
+                progress.computeIfAbsent(to, key -> new FollowerProgress(log.lastIndex() + 1));
+        long previous = follower.nextIndex() - 1;
         if (previous < log.snapshot().lastIndex()) {
-            sendSnapshot(to, of, round, now);
+            sendSnapshot(to, follower, round, now);
             return;
         }
         long limit = previous + state.settings().maxEntriesPerMessage();
-        List<Entry> entries = log.slice(of.nextIndex(), limit);
-        of.sent(previous + entries.size());
+        List<Entry> entries = log.slice(follower.nextIndex(), limit);
+        follower.recordSent(previous + entries.size());
         state.send(
                 to,
                 state.term(),
@@ -210,11 +211,11 @@
                         previous, log.termAt(previous), entries, state.commit(), round));
     }
 
-    private void sendSnapshot(ReplicaId to, Progress of, long round, long now) {
+    private void sendSnapshot(ReplicaId to, FollowerProgress follower, long round, long now) {
         long retry = state.settings().heartbeat().toNanos() * SNAPSHOT_RETRY_HEARTBEATS;
         Snapshot snapshot = state.log().snapshot();
-        if (of.snapshotDue(retry, now)) {
-            of.snapshotSent(now);
+        if (follower.snapshotDue(retry, now)) {
+            follower.recordSnapshotSent(now);
             state.send(to, state.term(), new Message.SnapshotRequest(snapshot, round));
             return;
         }
@@ -229,9 +230,9 @@
         Membership membership = state.membership();
         List<Long> matches = new ArrayList<>();
         for (ReplicaId voter : membership.voters()) {
-            Progress of = progress.get(voter);
+            FollowerProgress follower = progress.get(voter);
             long own = state.log().lastIndex();
-            long other = of == null ? 0 : of.matchIndex();
+            long other = follower == null ? 0 : follower.matchIndex();
             matches.add(voter.equals(state.self()) ? own : other);
         }
         if (matches.isEmpty()) {
@@ -243,13 +244,13 @@
             long before = state.commit();
             state.commitUpTo(index);
             state.caughtUp();
-            afterCommit(before);
+            stepDownIfRemoved(before);
         }
     }
 
     /** A leader that a committed change has removed steps down. */
-    private void afterCommit(long before) {
-        boolean removed = !state.voter() && state.log().membershipIndex() <= state.commit();
+    private void stepDownIfRemoved(long before) {
+        boolean removed = !state.isVoter() && state.log().membershipIndex() <= state.commit();
         if (state.commit() > before && removed) {
             stepDown();
         }
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/Membership.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/Membership.java
@@ -43,17 +43,17 @@
 
     /** Returns the other voters in turn, the one that follows a replica first. */
     public List<ReplicaId> votersAfter(ReplicaId self) {
-        List<ReplicaId> inTurn = new ArrayList<>(voters);
-        int place = voters.indexOf(self);
-        if (place >= 0) {
-            Collections.rotate(inTurn, -place);
-            inTurn.removeFirst();
+        List<ReplicaId> rotated = new ArrayList<>(voters);
+        int position = voters.indexOf(self);
+        if (position >= 0) {
+            Collections.rotate(rotated, -position);
+            rotated.removeFirst();
         }
-        return inTurn;
+        return rotated;
     }
 
     /** Returns every replica except one. */
-    public List<ReplicaId> othersThan(ReplicaId self) {
+    public List<ReplicaId> allExcept(ReplicaId self) {
         List<ReplicaId> others = new ArrayList<>(voters);
         others.addAll(learners);
         others.remove(self);
@@ -61,7 +61,7 @@
     }
 
     /** Returns the voter that a host runs, if there is one. */
-    public Optional<ReplicaId> voterOf(String host) {
+    public Optional<ReplicaId> voterOnHost(String host) {
         return voters.stream().filter(voter -> voter.host().equals(host)).findFirst();
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/MembershipChanges.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/MembershipChangePlanner.java
@@ -14,7 +14,7 @@
  * <p>Where hosts come and go, a learner is promoted while voters are missing, and otherwise only
  * takes the place of a voter that has been silent for long; the rest stay learners.
  */
-final class MembershipChanges {
+final class MembershipChangePlanner {
 
     /**
      * Silence after which another replica takes a voter's place, in election timeouts: beyond the
@@ -27,10 +27,10 @@
     private static final int SILENT_LEARNER_TIMEOUTS = 30;
 
     private final ReplicaState state;
-    private final Map<String, Heard> heard = new TreeMap<>();
-    private long ledSince;
+    private final Map<String, ReceivedHello> latestHellos = new TreeMap<>();
+    private long leaderSince;
 
-    MembershipChanges(ReplicaState state) {
+    MembershipChangePlanner(ReplicaState state) {
         this.state = state;
     }
 
@@ -43,25 +43,25 @@
     /** Why the change would harm the group. */
     record Refused(String reason) implements Decision {}
 
-    private record Heard(Hello hello, long at) {}
+    private record ReceivedHello(Hello hello, long receivedAt) {}
 
     /** Starts counting silence anew: a new leader has heard from nobody yet. */
-    void restart(long now) {
-        ledSince = now;
+    void leadershipStarted(long now) {
+        leaderSince = now;
     }
 
-    void hear(Hello hello, long now) {
-        heard.put(hello.replica().host(), new Heard(hello, now));
+    void receiveHello(Hello hello, long now) {
+        latestHellos.put(hello.replica().host(), new ReceivedHello(hello, now));
     }
 
-    Optional<Membership> next(Map<ReplicaId, Progress> progress, long now) {
-        if (changing()) {
+    Optional<Membership> nextChange(Map<ReplicaId, FollowerProgress> progress, long now) {
+        if (changePending()) {
             return Optional.empty();
         }
         Membership current = state.membership();
         for (ReplicaId learner : current.learners()) {
             if (caughtUp(learner, progress, now)) {
-                Optional<Membership> next = towardsVoter(current, learner, progress, now);
+                Optional<Membership> next = nextPromotionStep(current, learner, progress, now);
                 if (next.isPresent()) {
                     return next;
                 }
@@ -73,22 +73,22 @@
                                 learner ->
                                         silentFor(SILENT_LEARNER_TIMEOUTS, learner, progress, now))
                         .findFirst();
-        if (state.settings().open() && lost.isPresent()) {
+        if (state.settings().dynamicMembership() && lost.isPresent()) {
             return Optional.of(current.without(lost.get()));
         }
-        return heard.values().stream()
-                .filter(item -> now - item.at() < patience())
+        return latestHellos.values().stream()
+                .filter(item -> now - item.receivedAt() < electionTimeoutNanos())
                 .map(item -> item.hello().replica())
                 .filter(replica -> !current.contains(replica))
                 .findFirst()
                 .map(current::withLearner);
     }
 
-    Decision remove(String host, Map<ReplicaId, Progress> progress, long now) {
-        if (changing()) {
+    Decision planRemoval(String host, Map<ReplicaId, FollowerProgress> progress, long now) {
+        if (changePending()) {
             return new Refused("another change of membership is not committed yet");
         }
-        Optional<ReplicaId> voter = state.membership().voterOf(host);
+        Optional<ReplicaId> voter = state.membership().voterOnHost(host);
         if (voter.isEmpty()) {
             return new Refused("host " + host + " runs no voter of the group");
         }
@@ -109,13 +109,17 @@
         return new Next(next);
     }
 
-    private Optional<Membership> towardsVoter(
-            Membership current, ReplicaId learner, Map<ReplicaId, Progress> progress, long now) {
-        Optional<ReplicaId> former = current.voterOf(learner.host());
+    private Optional<Membership> nextPromotionStep(
+            Membership current,
+            ReplicaId learner,
+            Map<ReplicaId, FollowerProgress> progress,
+            long now) {
+        Optional<ReplicaId> former = current.voterOnHost(learner.host());
         if (former.isPresent()) {
             return Optional.of(current.without(former.get()));
         }
-        if (!state.settings().open() || current.voters().size() < state.settings().voters()) {
+        if (!state.settings().dynamicMembership()
+                || current.voters().size() < state.settings().voters()) {
             return Optional.of(current.withPromoted(learner));
         }
         return current.voters().stream()
@@ -126,35 +130,39 @@
     }
 
     private boolean silentFor(
-            int timeouts, ReplicaId replica, Map<ReplicaId, Progress> progress, long now) {
-        long silence = timeouts * patience();
-        Progress of = progress.get(replica);
-        boolean heardWithin = of != null && of.activeWithin(silence, now);
-        return !replica.equals(state.self()) && !heardWithin && now - ledSince >= silence;
+            int timeouts, ReplicaId replica, Map<ReplicaId, FollowerProgress> progress, long now) {
+        long silence = timeouts * electionTimeoutNanos();
+        FollowerProgress follower = progress.get(replica);
+        boolean repliedWithin = follower != null && follower.activeWithin(silence, now);
+        return !replica.equals(state.self()) && !repliedWithin && now - leaderSince >= silence;
     }
 
-    private long activeVoters(Membership members, Map<ReplicaId, Progress> progress, long now) {
+    private long activeVoters(
+            Membership members, Map<ReplicaId, FollowerProgress> progress, long now) {
         return members.voters().stream().filter(voter -> active(voter, progress, now)).count();
     }
 
-    private boolean changing() {
+    private boolean changePending() {
         return state.log().membershipIndex() > state.commit();
     }
 
-    private boolean caughtUp(ReplicaId learner, Map<ReplicaId, Progress> progress, long now) {
-        Progress of = progress.get(learner);
-        return of != null && active(learner, progress, now) && of.matchIndex() >= state.commit();
+    private boolean caughtUp(
+            ReplicaId learner, Map<ReplicaId, FollowerProgress> progress, long now) {
+        FollowerProgress follower = progress.get(learner);
+        return follower != null
+                && active(learner, progress, now)
+                && follower.matchIndex() >= state.commit();
     }
 
-    private boolean active(ReplicaId replica, Map<ReplicaId, Progress> progress, long now) {
+    private boolean active(ReplicaId replica, Map<ReplicaId, FollowerProgress> progress, long now) {
         if (replica.equals(state.self())) {
             return true;
         }
-        Progress of = progress.get(replica);
-        return of != null && of.activeWithin(patience(), now);
+        FollowerProgress follower = progress.get(replica);
+        return follower != null && follower.activeWithin(electionTimeoutNanos(), now);
     }
 
-    private long patience() {
+    private long electionTimeoutNanos() {
         return state.settings().electionTimeout().toNanos();
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/Replica.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/Replica.java
@@ -21,9 +21,9 @@
 
     private final ReplicaState state;
     private final Elections elections;
-    private final Leadership leadership;
-    private final Following following;
-    private final Formations formations;
+    private final LeaderRole leaderRole;
+    private final FollowerRole followerRole;
+    private final GroupFormation groupFormation;
 
     /**
      * Creates a replica.
@@ -45,14 +45,14 @@
             RandomGenerator random,
             SavedState saved,
             long now) {
-        if (!settings.open() && !hosts.contains(self.host())) {
+        if (!settings.dynamicMembership() && !hosts.contains(self.host())) {
             throw new IllegalArgumentException(self + " is on none of the group's hosts " + hosts);
         }
         state = new ReplicaState(self, durable, hosts, settings, random, saved, now);
-        leadership = new Leadership(state);
-        elections = new Elections(state, leadership);
-        following = new Following(state);
-        formations = new Formations(state, now);
+        leaderRole = new LeaderRole(state);
+        elections = new Elections(state, leaderRole);
+        followerRole = new FollowerRole(state);
+        groupFormation = new GroupFormation(state, now);
     }
 
     /**
@@ -66,14 +66,14 @@
         switch (event) {
             case ReplicaEvent.Tick() -> tick(now);
             case ReplicaEvent.Received(Message message) -> receive(message, now);
-            case ReplicaEvent.HelloReceived(Hello hello) -> hear(hello, now);
+            case ReplicaEvent.HelloReceived(Hello hello) -> receiveHello(hello, now);
             case ReplicaEvent.Propose(List<ReplicaEvent.Proposal> proposals) ->
-                    leadership.propose(proposals, now);
-            case ReplicaEvent.Read(long ticket) -> leadership.read(ticket, now);
+                    leaderRole.propose(proposals, now);
+            case ReplicaEvent.Read(long ticket) -> leaderRole.read(ticket, now);
             case ReplicaEvent.Compact(long index, byte[] bytes) -> compact(index, bytes);
-            case ReplicaEvent.Transfer(boolean stopping) -> leadership.transfer(stopping, now);
+            case ReplicaEvent.Transfer(boolean stopping) -> leaderRole.transfer(stopping, now);
             case ReplicaEvent.RemoveReplica(long ticket, String host) ->
-                    leadership.removeReplica(ticket, host, now);
+                    leaderRole.removeReplica(ticket, host, now);
         }
         return state.drainEffects();
     }
@@ -130,7 +130,7 @@
      * @param now the monotonic clock, in nanoseconds
      */
     public boolean holdsLease(long now) {
-        return state.role() == Role.LEADER && leadership.holdsLease(now);
+        return state.role() == Role.LEADER && leaderRole.holdsLease(now);
     }
 
     /**
@@ -140,25 +140,26 @@
      * @param now the monotonic clock, in nanoseconds
      */
     public long leaseUntil(long now) {
-        return holdsLease(now) ? leadership.leaseEnd() : now;
+        return holdsLease(now) ? leaderRole.leaseExpiry() : now;
     }
 
     private void tick(long now) {
-        formations.tick(now);
+        groupFormation.tick(now);
         if (state.role() == Role.LEADER) {
-            leadership.tick(now);
+            leaderRole.tick(now);
         } else {
             elections.tick(now);
         }
     }
 
-    private void hear(Hello hello, long now) {
+    private void receiveHello(Hello hello, long now) {
         boolean named = state.hosts().contains(hello.replica().host());
-        if (!(named || state.settings().open()) || hello.replica().equals(state.self())) {
+        if (!(named || state.settings().dynamicMembership())
+                || hello.replica().equals(state.self())) {
             return;
         }
-        formations.hear(hello, now);
-        leadership.hear(hello, now);
+        groupFormation.receiveHello(hello, now);
+        leaderRole.receiveHello(hello, now);
     }
 
     private void receive(Message message, long now) {
@@ -166,19 +167,21 @@
             return;
         }
         if (message.body() instanceof Message.Form form) {
-            formations.receive(message, form, now);
+            groupFormation.handleForm(message, form, now);
             return;
         }
-        if (message.formation() != state.formation() && !formations.adopts(message)) {
+        if (message.formation() != state.formation() && !groupFormation.adoptFormation(message)) {
             return;
         }
         switch (message.body()) {
-            case Message.VoteRequest request -> elections.request(message, request, now);
-            case Message.VoteReply reply -> elections.reply(message, reply, now);
-            case Message.AppendRequest request -> following.append(message, request, now);
-            case Message.AppendReply reply -> leadership.reply(message, reply, now);
-            case Message.SnapshotRequest request -> following.install(message, request, now);
-            case Message.TimeoutNow ignored -> elections.stand(true, now);
+            case Message.VoteRequest request -> elections.handleVoteRequest(message, request, now);
+            case Message.VoteReply reply -> elections.handleVoteReply(message, reply, now);
+            case Message.AppendRequest request ->
+                    followerRole.handleAppendRequest(message, request, now);
+            case Message.AppendReply reply -> leaderRole.handleAppendReply(message, reply, now);
+            case Message.SnapshotRequest request ->
+                    followerRole.handleSnapshotRequest(message, request, now);
+            case Message.TimeoutNow ignored -> elections.startElection(true, now);
             case Message.Form ignored -> throw new IllegalStateException("handled above");
         }
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/ReplicaEffect.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/ReplicaEffect.java
@@ -26,10 +26,10 @@
     record Send(Message message) implements ReplicaEffect {}
 
     /** Tell every other host of the group who this replica is. */
-    record Announce(Hello hello) implements ReplicaEffect {}
+    record BroadcastHello(Hello hello) implements ReplicaEffect {}
 
     /** Tell one host of the group who this replica is. */
-    record Answer(String host, Hello hello) implements ReplicaEffect {}
+    record SendHello(String host, Hello hello) implements ReplicaEffect {}
 
     /** Apply committed entries to the state machine, in order. */
     record Apply(List<Entry> entries) implements ReplicaEffect {}
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/ReplicaSettings.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/ReplicaSettings.java
@@ -46,7 +46,7 @@
     }
 
     /** Returns whether hosts that nobody has named may join the group. */
-    boolean open() {
+    boolean dynamicMembership() {
         return voters > 0;
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/ReplicaState.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/ReplicaState.java
@@ -11,7 +11,7 @@
 final class ReplicaState {
 
     /** A vote takes some milliseconds, with two syncs of a disk. */
-    private static final long RESTART_TURN_NANOS = Duration.ofMillis(60).toNanos();
+    private static final long RESTART_ELECTION_STAGGER_NANOS = Duration.ofMillis(60).toNanos();
 
     private final ReplicaId self;
     private final boolean durable;
@@ -20,13 +20,13 @@
     private final RandomGenerator random;
     private final EntryLog log;
 
-    private HardState hard;
+    private HardState hardState;
     private Role role = Role.FOLLOWER;
     private Optional<ReplicaId> leader = Optional.empty();
     private long commit;
     private boolean caughtUp;
     private long electionDeadline;
-    private long lastHeardFromLeader;
+    private long lastLeaderContact;
     private List<ReplicaEffect> effects = new ArrayList<>();
 
     ReplicaState(
@@ -42,15 +42,15 @@
         this.hosts = Set.copyOf(hosts);
         this.settings = settings;
         this.random = random;
-        this.hard = saved.hardState();
+        this.hardState = saved.hardState();
         this.log = new EntryLog(saved.snapshot(), saved.entries());
         this.commit = saved.snapshot().lastIndex();
-        boolean mayHaveGranted = saved.hardState().formation() != 0;
-        long granted = mayHaveGranted ? 0 : settings.electionTimeout().toNanos();
-        this.lastHeardFromLeader = now - granted;
+        boolean mayHaveGrantedLease = saved.hardState().formation() != 0;
+        long contactAge = mayHaveGrantedLease ? 0 : settings.electionTimeout().toNanos();
+        this.lastLeaderContact = now - contactAge;
         resetElectionDeadline(now);
-        if (mayHaveGranted) {
-            standInTurn(now);
+        if (mayHaveGrantedLease) {
+            staggerElections(now);
         }
     }
 
@@ -60,11 +60,13 @@
      * delays the first stood 0.08 to 0.5 s after it could have been elected (three days that end
      * with a restart of all, from the logs).
      */
-    private void standInTurn(long now) {
-        int turn = log.membership().voters().indexOf(self);
-        if (turn >= 0) {
+    private void staggerElections(long now) {
+        int position = log.membership().voters().indexOf(self);
+        if (position >= 0) {
             electionDeadline =
-                    now + settings.electionTimeout().toNanos() + turn * RESTART_TURN_NANOS;
+                    now
+                            + settings.electionTimeout().toNanos()
+                            + position * RESTART_ELECTION_STAGGER_NANOS;
         }
     }
 
@@ -92,16 +94,16 @@
         return log;
     }
 
-    HardState hard() {
-        return hard;
+    HardState hardState() {
+        return hardState;
     }
 
     long term() {
-        return hard.term();
+        return hardState.term();
     }
 
     long formation() {
-        return hard.formation();
+        return hardState.formation();
     }
 
     Role role() {
@@ -121,24 +123,24 @@
     }
 
     /** Returns whether this replica holds no entry of the group. */
-    boolean fresh() {
+    boolean emptyLog() {
         return log.lastIndex() == 0;
     }
 
-    boolean voter() {
+    boolean isVoter() {
         return membership().voters().contains(self);
     }
 
-    void saveHard(HardState next) {
-        if (!next.equals(hard)) {
-            hard = next;
+    void saveHardState(HardState next) {
+        if (!next.equals(hardState)) {
+            hardState = next;
             emit(new ReplicaEffect.SaveHardState(next));
         }
     }
 
     void becomeFollower(long term, Optional<ReplicaId> newLeader) {
-        if (term > hard.term()) {
-            saveHard(hard.withTerm(term));
+        if (term > hardState.term()) {
+            saveHardState(hardState.withTerm(term));
         }
         leader = newLeader;
         changeRole(Role.FOLLOWER);
@@ -155,14 +157,14 @@
         leader = newLeader;
     }
 
-    void heardFromLeader(long now) {
-        lastHeardFromLeader = now;
+    void recordLeaderContact(long now) {
+        lastLeaderContact = now;
         resetElectionDeadline(now);
     }
 
     /** Returns whether a leader may still hold a lease that this replica has granted. */
     boolean withinGrantedLease(long now) {
-        return now - lastHeardFromLeader < settings.electionTimeout().toNanos();
+        return now - lastLeaderContact < settings.electionTimeout().toNanos();
     }
 
     boolean electionDue(long now) {
@@ -174,7 +176,7 @@
         electionDeadline = now + base + random.nextLong(base);
     }
 
-    void standNow(long now) {
+    void startElectionAtNextTick(long now) {
         electionDeadline = now;
     }
 
@@ -198,13 +200,13 @@
     }
 
     void restore(Snapshot snapshot) {
-        log.reset(snapshot);
+        log.replaceWith(snapshot);
         commit = snapshot.lastIndex();
         emit(new ReplicaEffect.SaveSnapshot(snapshot, true));
         emit(new ReplicaEffect.Restore(snapshot));
     }
 
-    void appendOwn(List<Entry> entries) {
+    void appendLocally(List<Entry> entries) {
         log.append(entries);
         emit(new ReplicaEffect.SaveEntries(entries));
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/SnapshotPace.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/SnapshotPolicy.java
@@ -9,21 +9,21 @@
  * in proportion to the state, which writes the state at most once for every few times its own size
  * in commands; and by their number, for states that small commands change.
  */
-public final class SnapshotPace {
+public final class SnapshotPolicy {
 
-    private static final long MOST_ENTRIES = 4000;
+    private static final long MAX_ENTRIES = 4000;
 
     /** Smaller logs are read within some ten milliseconds. */
-    private static final long LEAST_BYTES = 1 << 20;
+    private static final long MIN_LOG_BYTES = 1 << 20;
 
-    private static final long STATES_IN_LOG = 8;
+    private static final long LOG_TO_STATE_RATIO = 8;
 
     private long entries;
     private long bytes;
     private long stateBytes;
 
     /** Notes that an entry has been applied. */
-    public void applied(Entry entry) {
+    public void entryApplied(Entry entry) {
         entries++;
         if (entry.payload() instanceof Payload.Command(byte[] command)) {
             bytes += command.length;
@@ -31,7 +31,7 @@
     }
 
     /** Notes that a snapshot covers all that was applied so far. */
-    public void covered(Snapshot snapshot) {
+    public void snapshotTaken(Snapshot snapshot) {
         entries = 0;
         bytes = 0;
         stateBytes = snapshot.state().length;
@@ -39,7 +39,7 @@
 
     /** Returns whether the state is to be saved as a snapshot now. */
     public boolean due() {
-        return entries >= MOST_ENTRIES
-                || bytes >= Math.max(LEAST_BYTES, STATES_IN_LOG * stateBytes);
+        return entries >= MAX_ENTRIES
+                || bytes >= Math.max(MIN_LOG_BYTES, LOG_TO_STATE_RATIO * stateBytes);
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/replication/OpenGroupTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/replication/DynamicGroupTest.java
@@ -6,17 +6,17 @@
 import org.junit.jupiter.api.Test;
 
 /** A group whose hosts come and go. */
-class OpenGroupTest {
+class DynamicGroupTest {
 
-    private static final long LONG_ENOUGH_MILLIS = 6000;
+    private static final long CONVERGENCE_MILLIS = 6000;
 
     @Test
-    void foundersFormTheGroupAndOthersOnlyFollow() {
-        FakeGroup group = FakeGroup.open(1, "a", "b", "c");
+    void foundersBecomeVotersAndOtherHostsLearners() {
+        SimulatedGroup group = SimulatedGroup.withDynamicMembership(1, "a", "b", "c");
         group.join("d");
-        FakeGroup.Host leader = group.awaitLeader();
+        SimulatedGroup.Host leader = group.awaitLeader();
         group.propose(leader.name, "one");
-        group.run(LONG_ENOUGH_MILLIS);
+        group.run(CONVERGENCE_MILLIS);
         assertThat(hostsOf(leader.replica.membership().voters())).containsExactly("a", "b", "c");
         assertThat(hostsOf(leader.replica.membership().learners())).containsExactly("d");
         assertThat(group.hosts.get("d").applied).containsExactly("one");
@@ -24,40 +24,40 @@
 
     @Test
     void hostsThatOnlyJoinNeverFormAGroup() {
-        FakeGroup group = FakeGroup.open(2, "a", "b", "c");
+        SimulatedGroup group = SimulatedGroup.withDynamicMembership(2, "a", "b", "c");
         List.of("a", "b", "c").forEach(group::wipe);
         List.of("a", "b", "c").forEach(group::start);
         group.join("d");
-        group.run(LONG_ENOUGH_MILLIS);
+        group.run(CONVERGENCE_MILLIS);
         assertThat(group.leader()).isEmpty();
     }
 
     @Test
-    void joiningHostTakesThePlaceOfOneThatIsGone() {
-        FakeGroup group = FakeGroup.open(3, "a", "b", "c");
-        FakeGroup.Host leader = group.awaitLeader();
+    void joiningHostReplacesFailedVoter() {
+        SimulatedGroup group = SimulatedGroup.withDynamicMembership(3, "a", "b", "c");
+        SimulatedGroup.Host leader = group.awaitLeader();
         group.propose(leader.name, "one");
         group.run(1000);
-        String gone = leader.name.equals("a") ? "b" : "a";
-        group.kill(gone);
+        String failed = leader.name.equals("a") ? "b" : "a";
+        group.kill(failed);
         group.join("d");
-        group.run(LONG_ENOUGH_MILLIS);
+        group.run(CONVERGENCE_MILLIS);
         List<String> voters = hostsOf(group.awaitLeader().replica.membership().voters());
-        assertThat(voters).hasSize(3).contains("d").doesNotContain(gone);
+        assertThat(voters).hasSize(3).contains("d").doesNotContain(failed);
     }
 
     @Test
-    void everyFounderCanBeReplacedInTurnWithoutLoss() {
-        FakeGroup group = FakeGroup.open(4, "a", "b", "c");
+    void allFoundersCanBeReplacedOneByOneWithoutLoss() {
+        SimulatedGroup group = SimulatedGroup.withDynamicMembership(4, "a", "b", "c");
         List<String> founders = List.of("a", "b", "c");
-        for (int turn = 0; turn < founders.size(); turn++) {
-            group.propose(group.awaitLeader().name, "change-" + turn);
+        for (int index = 0; index < founders.size(); index++) {
+            group.propose(group.awaitLeader().name, "change-" + index);
             group.run(500);
-            group.kill(founders.get(turn));
-            group.join("new-" + turn);
-            group.run(LONG_ENOUGH_MILLIS);
+            group.kill(founders.get(index));
+            group.join("new-" + index);
+            group.run(CONVERGENCE_MILLIS);
         }
-        FakeGroup.Host leader = group.awaitLeader();
+        SimulatedGroup.Host leader = group.awaitLeader();
         assertThat(hostsOf(leader.replica.membership().voters()))
                 .containsExactly("new-0", "new-1", "new-2");
         assertThat(leader.applied).containsExactly("change-0", "change-1", "change-2");
@@ -65,31 +65,31 @@
     }
 
     @Test
-    void wipedVoterJoinsAgainAsAnotherAndThenASecondMayBeLost() {
-        FakeGroup group = FakeGroup.open(5, "a", "b", "c");
-        FakeGroup.Host leader = group.awaitLeader();
+    void groupSurvivesLossOfSecondVoterAfterWipedVoterRejoined() {
+        SimulatedGroup group = SimulatedGroup.withDynamicMembership(5, "a", "b", "c");
+        SimulatedGroup.Host leader = group.awaitLeader();
         group.propose(leader.name, "one");
         group.run(500);
         String wiped = leader.name.equals("a") ? "b" : "a";
         group.wipe(wiped);
         group.start(wiped);
-        group.run(LONG_ENOUGH_MILLIS);
+        group.run(CONVERGENCE_MILLIS);
         group.wipe(group.awaitLeader().name);
-        FakeGroup.Host next = group.awaitLeader();
+        SimulatedGroup.Host next = group.awaitLeader();
         assertThat(next.applied).containsExactly("one");
     }
 
     @Test
-    void voterThatIsOnlySlowToAnswerKeepsItsPlace() {
-        FakeGroup group = FakeGroup.open(6, "a", "b", "c");
-        FakeGroup.Host leader = group.awaitLeader();
+    void brieflyUnreachableVoterIsNotReplaced() {
+        SimulatedGroup group = SimulatedGroup.withDynamicMembership(6, "a", "b", "c");
+        SimulatedGroup.Host leader = group.awaitLeader();
         group.join("d");
         group.run(1000);
-        String cut = leader.name.equals("a") ? "b" : "a";
-        group.cutHosts.add(cut);
+        String partitioned = leader.name.equals("a") ? "b" : "a";
+        group.partitionedHosts.add(partitioned);
         group.run(1500);
-        group.cutHosts.clear();
-        group.run(LONG_ENOUGH_MILLIS);
+        group.partitionedHosts.clear();
+        group.run(CONVERGENCE_MILLIS);
         List<String> voters = hostsOf(group.awaitLeader().replica.membership().voters());
         assertThat(voters).containsExactly("a", "b", "c");
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/replication/ReplicaProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/replication/ReplicaProperties.java
@@ -15,17 +15,17 @@
     private static final int STEPS = 120;
 
     @Property(tries = 300, seed = "20261202")
-    void durableGroupLosesNothingThatWasAcknowledged(
+    void durableGroupKeepsAcknowledgedCommands(
             @ForAll long seed, @ForAll @IntRange(min = 3, max = 5) int size) {
         Run run = new Run(seed, true, size);
-        run.disturb();
+        run.injectFaults();
         run.checkConvergence();
     }
 
     @Property(tries = 300, seed = "20261202")
-    void volatileGroupThatLosesOneHostAtATimeLosesNothing(@ForAll long seed) {
+    void volatileGroupKeepsCommandsWhenOneHostFailsAtATime(@ForAll long seed) {
         Run run = new Run(seed, false, 3);
-        run.disturb();
+        run.injectFaults();
         run.checkConvergence();
     }
 
@@ -35,10 +35,10 @@
      * know yet that it is none any more, or an old message, may be all that a host hears.
      */
     @Property(tries = 300, seed = "20261203")
-    void replicaThatHasCaughtUpHoldsAllThatWasAcknowledgedBeforeItStarted(
+    void caughtUpReplicaHoldsCommandsAcknowledgedBeforeItStarted(
             @ForAll long seed, @ForAll @IntRange(min = 3, max = 5) int size) {
         Run run = new Run(seed, true, size);
-        run.restartAllAgainAndAgain();
+        run.restartAllRepeatedly();
         run.checkConvergence();
     }
 
@@ -47,25 +47,25 @@
         private final Random random;
         private final boolean durable;
         private final String[] names;
-        private final FakeGroup group;
+        private final SimulatedGroup group;
         private int command;
 
         Run(long seed, boolean durable, int size) {
             this.random = new Random(seed);
             this.durable = durable;
             this.names = List.of("a", "b", "c", "d", "e").subList(0, size).toArray(String[]::new);
-            this.group = new FakeGroup(seed, durable, names);
+            this.group = new SimulatedGroup(seed, durable, names);
             group.awaitLeader();
-            group.faults(0.1, 0.1);
+            group.setFaults(0.1, 0.1);
         }
 
-        void disturb() {
+        void injectFaults() {
             for (int step = 0; step < STEPS; step++) {
                 switch (random.nextInt(8)) {
                     case 0 -> restart();
-                    case 1 -> cut();
-                    case 2 -> group.cutHosts.clear();
-                    case 3 -> group.compact(any());
+                    case 1 -> partition();
+                    case 2 -> group.partitionedHosts.clear();
+                    case 3 -> group.compact(randomHost());
                     default -> propose();
                 }
                 group.run(random.nextInt(300));
@@ -74,11 +74,11 @@
             }
         }
 
-        void restartAllAgainAndAgain() {
+        void restartAllRepeatedly() {
             for (int round = 0; round < 6; round++) {
                 for (int step = 0; step < 20; step++) {
                     if (random.nextInt(5) == 0) {
-                        restartAlone(any());
+                        killOrStart(randomHost());
                     }
                     propose();
                     group.run(random.nextInt(100));
@@ -91,7 +91,7 @@
             }
         }
 
-        private void restartAlone(String name) {
+        private void killOrStart(String name) {
             if (group.hosts.get(name).replica == null) {
                 group.start(name);
             } else {
@@ -101,15 +101,15 @@
 
         private void checkCaughtUp() {
             for (String name : names) {
-                assertThat(group.hosts.get(name).missedWhenCaughtUp)
+                assertThat(group.hosts.get(name).missingWhenCaughtUp)
                         .as("what %s missed when it said to have caught up", name)
                         .isEmpty();
             }
         }
 
         void checkConvergence() {
-            group.faults(0, 0);
-            group.cutHosts.clear();
+            group.setFaults(0, 0);
+            group.partitionedHosts.clear();
             for (String name : names) {
                 if (group.hosts.get(name).replica == null) {
                     group.start(name);
@@ -133,7 +133,7 @@
         }
 
         private void restart() {
-            String name = any();
+            String name = randomHost();
             if (group.hosts.get(name).replica == null) {
                 group.start(name);
             } else if (durable || allUpAndSettled()) {
@@ -143,7 +143,7 @@
 
         /** A volatile host may only go when the others make a full group without it. */
         private boolean allUpAndSettled() {
-            return group.cutHosts.isEmpty()
+            return group.partitionedHosts.isEmpty()
                     && group.leader().isPresent()
                     && group.leader().get().replica.commitIndex()
                             == group.leader().get().replica.lastIndex()
@@ -159,17 +159,17 @@
                                                             .contains(host.replica.id()));
         }
 
-        private void cut() {
-            group.cutHosts.clear();
-            group.cutHosts.add(any());
+        private void partition() {
+            group.partitionedHosts.clear();
+            group.partitionedHosts.add(randomHost());
         }
 
         private void propose() {
-            String target = group.leader().map(host -> host.name).orElse(any());
+            String target = group.leader().map(host -> host.name).orElse(randomHost());
             group.propose(target, "c" + command++);
         }
 
-        private String any() {
+        private String randomHost() {
             return names[random.nextInt(names.length)];
         }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/replication/ReplicaTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/replication/ReplicaTest.java
@@ -17,7 +17,7 @@
 
     @Test
     void groupOfOneCommitsAlone() {
-        FakeGroup group = new FakeGroup(SEED, true, "a");
+        SimulatedGroup group = new SimulatedGroup(SEED, true, "a");
         group.awaitLeader();
         group.propose("a", "x");
         assertThat(group.hosts.get("a").applied).containsExactly("x");
@@ -25,7 +25,7 @@
 
     @Test
     void commandsReachEveryReplicaInOrder() {
-        FakeGroup group = new FakeGroup(SEED, true, "a", "b", "c");
+        SimulatedGroup group = new SimulatedGroup(SEED, true, "a", "b", "c");
         String leader = group.awaitLeader().name;
         group.propose(leader, "1");
         group.propose(leader, "2");
@@ -35,8 +35,8 @@
     }
 
     @Test
-    void leadershipThatIsHandedOnGoesRoundAllVoters() {
-        FakeGroup group = new FakeGroup(SEED, true, "a", "b", "c");
+    void transferredLeadershipRotatesThroughAllVoters() {
+        SimulatedGroup group = new SimulatedGroup(SEED, true, "a", "b", "c");
         Set<String> led = new HashSet<>();
         for (int turn = 0; turn < 3; turn++) {
             String leader = group.awaitLeader().name;
@@ -48,8 +48,8 @@
     }
 
     @Test
-    void leaderThatNobodyCanFollowGoesOnUnlessItStops() {
-        FakeGroup group = new FakeGroup(SEED, true, "a");
+    void leaderWithoutSuccessorAcceptsCommandsUnlessStopping() {
+        SimulatedGroup group = new SimulatedGroup(SEED, true, "a");
         group.awaitLeader();
         group.transfer("a", false);
         group.propose("a", "kept");
@@ -60,44 +60,44 @@
     }
 
     @Test
-    void firstFormationOfDurableReplicasLosesNothing() {
-        FakeGroup group = new FakeGroup(SEED, true, "a", "b", "c");
+    void durableReplicasFormGroupOnce() {
+        SimulatedGroup group = new SimulatedGroup(SEED, true, "a", "b", "c");
         group.awaitLeader();
         group.run(3000);
-        assertThat(group.hosts.values()).allSatisfy(host -> assertThat(host.reforms).isOne());
+        assertThat(group.hosts.values()).allSatisfy(host -> assertThat(host.formations).isOne());
     }
 
     @Test
-    void leaderCutInSilenceLosesItsLeaseBeforeAnotherGetsOne() {
-        FakeGroup group = new FakeGroup(SEED, true, "a", "b", "c");
+    void partitionedLeaderLosesLeaseBeforeAnotherIsGranted() {
+        SimulatedGroup group = new SimulatedGroup(SEED, true, "a", "b", "c");
         String first = group.awaitLeader().name;
-        group.cutHosts.add(first);
+        group.partitionedHosts.add(first);
         for (int tick = 0; tick < 300; tick++) {
-            group.run(FakeGroup.TICK_MILLIS);
+            group.run(SimulatedGroup.TICK_MILLIS);
             assertThat(group.leaseHolders()).isLessThanOrEqualTo(1);
         }
         assertThat(group.awaitLeader().name).isNotEqualTo(first);
     }
 
     @Test
-    void uncommittedCommandOfCutLeaderIsReplaced() {
-        FakeGroup group = new FakeGroup(SEED, true, "a", "b", "c");
+    void uncommittedCommandOfPartitionedLeaderIsReplaced() {
+        SimulatedGroup group = new SimulatedGroup(SEED, true, "a", "b", "c");
         String first = group.awaitLeader().name;
-        group.cutHosts.add(first);
+        group.partitionedHosts.add(first);
         group.propose(first, "lost");
         group.run(4000);
         String second = group.awaitLeader().name;
         group.propose(second, "kept");
         group.run(500);
-        group.cutHosts.clear();
+        group.partitionedHosts.clear();
         group.run(3000);
         assertThat(group.hosts.get(first).applied).containsExactly("kept");
         assertThat(group.acknowledged).containsExactly("kept");
     }
 
     @Test
-    void wipedReplicaIsReplacedByNewIdentityAndThenSecondHostMayBeLost() {
-        FakeGroup group = new FakeGroup(SEED, true, "a", "b", "c");
+    void groupSurvivesLossOfSecondHostAfterWipedReplicaRejoined() {
+        SimulatedGroup group = new SimulatedGroup(SEED, true, "a", "b", "c");
         String leader = group.awaitLeader().name;
         group.propose(leader, "kept");
         group.run(500);
@@ -119,8 +119,8 @@
     }
 
     @Test
-    void volatileGroupComesBackFromItsSurvivorAndSaysThatMemoryMayBeLost() {
-        FakeGroup group = new FakeGroup(SEED, false, "a", "b", "c");
+    void volatileGroupReformsFromSurvivor() {
+        SimulatedGroup group = new SimulatedGroup(SEED, false, "a", "b", "c");
         group.awaitLeader();
         group.propose(group.awaitLeader().name, "kept");
         group.run(500);
@@ -132,12 +132,12 @@
         group.awaitLeader();
         assertThat(group.hosts.values())
                 .allSatisfy(host -> assertThat(host.applied).containsExactly("kept"))
-                .allSatisfy(host -> assertThat(host.reforms).isPositive());
+                .allSatisfy(host -> assertThat(host.formations).isPositive());
     }
 
     @Test
     void volatileGroupThatLostEveryReplicaFormsAgain() {
-        FakeGroup group = new FakeGroup(SEED, false, "a", "b", "c");
+        SimulatedGroup group = new SimulatedGroup(SEED, false, "a", "b", "c");
         group.awaitLeader();
         group.hosts.keySet().forEach(group::kill);
         group.hosts.keySet().forEach(group::start);
@@ -148,8 +148,8 @@
     }
 
     @Test
-    void removalThatWouldLoseTheQuorumIsRefused() {
-        FakeGroup group = new FakeGroup(SEED, true, "a", "b", "c");
+    void removalThatBreaksQuorumIsRefused() {
+        SimulatedGroup group = new SimulatedGroup(SEED, true, "a", "b", "c");
         String leader = group.awaitLeader().name;
         List<String> others =
                 group.hosts.keySet().stream().filter(name -> !name.equals(leader)).toList();
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void lateSnapshotDropsNothingThatTheFollowerHasAcknowledged() {
+    void delayedSnapshotKeepsAcknowledgedEntries() {
         Follower follower = new Follower();
         follower.receive(
                 5,
@@ -177,13 +177,13 @@
     }
 
     @Test
-    void followerThatHeardFromItsLeaderLatelyVotesForNobodyElse() {
+    void followerIgnoresVoteRequestsWithinGrantedLease() {
         Follower follower = new Follower();
         follower.receive(5, new Message.AppendRequest(0, 0, List.of(entry(1)), 0, 1));
         Message.VoteRequest request = new Message.VoteRequest(9, 9, false, false);
         assertThat(follower.receive(9, request)).isEmpty();
         assertThat(follower.replica.term()).isEqualTo(5);
-        follower.now += 3000 * FakeGroup.MILLI;
+        follower.now += 3000 * SimulatedGroup.MILLI;
         assertThat(follower.receive(9, request)).contains(new Message.VoteReply(true, false));
     }
 
@@ -195,7 +195,7 @@
                 new Membership(List.of(SELF, LEADER, new ReplicaId("c", 3)), List.of());
         private static final long FORMATION = 7;
 
-        private long now = 1000 * FakeGroup.MILLI;
+        private long now = 1000 * SimulatedGroup.MILLI;
         private final Replica replica =
                 new Replica(
                         SELF,
@@ -231,9 +231,9 @@
     }
 
     @Test
-    void groupWhoseProcessesAllRestartHasALeaderAsSoonAsOldLeasesHaveEnded() {
+    void restartedGroupElectsLeaderOnceOldLeasesExpired() {
         for (long seed = 1; seed <= 20; seed++) {
-            FakeGroup group = new FakeGroup(seed, true, "a", "b", "c");
+            SimulatedGroup group = new SimulatedGroup(seed, true, "a", "b", "c");
             group.awaitLeader();
             group.run(2000);
             List.of("a", "b", "c").forEach(group::kill);
@@ -245,7 +245,7 @@
 
     @Test
     void lateReplicaCatchesUpFromSnapshot() {
-        FakeGroup group = new FakeGroup(SEED, true, "a", "b", "c");
+        SimulatedGroup group = new SimulatedGroup(SEED, true, "a", "b", "c");
         String leader = group.awaitLeader().name;
         String late =
                 group.hosts.keySet().stream()
--- a/stackhall-core/src/test/java/io/stackhall/core/replication/RoutesAfterRestartProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/replication/RoutesAfterRestartProperties.java
@@ -25,23 +25,23 @@
     private static final int STEPS = 60;
     private static final long ROUND_MILLIS = 100;
     private static final long NONE = -1;
-    private static final Duration PATIENCE = Duration.ofSeconds(4);
+    private static final Duration CONFIRMATION_TIMEOUT = Duration.ofSeconds(4);
 
     /** The time within which an acknowledged change has to be in force. */
     private static final Duration APPLIED_WITHIN = Duration.ofSeconds(2);
 
     @Property(tries = 200, seed = "20261203")
-    void whatWasReplacedBeforeAHostStartedIsNotObeyed(@ForAll long seed) {
+    void restartedEntryHostNeverConfirmsReplacedConfiguration(@ForAll long seed) {
         Run run = new Run(seed);
         for (int step = 0; step < STEPS; step++) {
-            run.disturb();
+            run.injectFault();
         }
-        run.checkAllObeyTheNewest();
+        run.checkNewestInForceEverywhere();
     }
 
     /** One entry host in one of its lives. */
     private static final class EntryHost {
-        private final RoutesTrust trust = new RoutesTrust(PATIENCE);
+        private final RoutesTrust trust = new RoutesTrust(CONFIRMATION_TIMEOUT);
         private final long acknowledgedBefore;
         private final String primary;
         private long inForce = NONE;
@@ -55,32 +55,32 @@
     /** One random run. */
     private static final class Run {
         private final Random random;
-        private final FakeGroup group;
+        private final SimulatedGroup group;
         private final List<EntryHost> entries = new ArrayList<>();
         private int version;
 
         Run(long seed) {
             random = new Random(seed);
-            group = new FakeGroup(seed, true, CONTROL);
+            group = new SimulatedGroup(seed, true, CONTROL);
             group.awaitLeader();
             for (int count = 0; count < ENTRY_HOSTS; count++) {
-                entries.add(started());
+                entries.add(newEntryHost());
             }
         }
 
-        void disturb() {
+        void injectFault() {
             switch (random.nextInt(10)) {
                 case 0 -> restartAll();
                 case 1 -> restartControl(CONTROL[random.nextInt(CONTROL.length)]);
-                case 2 -> cut();
-                case 3, 4 -> entries.set(random.nextInt(ENTRY_HOSTS), started());
+                case 2 -> togglePartition();
+                case 3, 4 -> entries.set(random.nextInt(ENTRY_HOSTS), newEntryHost());
                 default -> change();
             }
-            pass(random.nextInt(5));
+            advance(random.nextInt(5));
         }
 
-        void checkAllObeyTheNewest() {
-            group.cutHosts.clear();
+        void checkNewestInForceEverywhere() {
+            group.partitionedHosts.clear();
             for (String name : CONTROL) {
                 if (group.hosts.get(name).replica == null) {
                     group.start(name);
@@ -88,7 +88,7 @@
             }
             String leader = group.awaitLeader().name;
             group.propose(leader, Integer.toString(++version));
-            pass(Math.toIntExact(APPLIED_WITHIN.toMillis() / ROUND_MILLIS));
+            advance(Math.toIntExact(APPLIED_WITHIN.toMillis() / ROUND_MILLIS));
             for (EntryHost entry : entries) {
                 assertThat(entry.inForce).isGreaterThanOrEqualTo(newest(group.acknowledged));
             }
@@ -99,11 +99,11 @@
         }
 
         /** Cuts a control host off from the others, or heals that; entry hosts go on hearing it. */
-        private void cut() {
-            if (group.cutHosts.isEmpty()) {
-                group.cutHosts.add(CONTROL[random.nextInt(CONTROL.length)]);
+        private void togglePartition() {
+            if (group.partitionedHosts.isEmpty()) {
+                group.partitionedHosts.add(CONTROL[random.nextInt(CONTROL.length)]);
             } else {
-                group.cutHosts.clear();
+                group.partitionedHosts.clear();
             }
         }
 
@@ -112,7 +112,7 @@
                 group.killWithConnections(name);
                 group.start(name);
             }
-            entries.replaceAll(entry -> started());
+            entries.replaceAll(entry -> newEntryHost());
         }
 
         private void restartControl(String name) {
@@ -123,41 +123,41 @@
             }
         }
 
-        private EntryHost started() {
+        private EntryHost newEntryHost() {
             return new EntryHost(
                     newest(group.acknowledged), CONTROL[random.nextInt(CONTROL.length)]);
         }
 
-        private void pass(int rounds) {
+        private void advance(int rounds) {
             for (int round = 0; round < rounds; round++) {
                 group.run(ROUND_MILLIS);
-                entries.forEach(this::tell);
+                entries.forEach(this::sendUpdates);
             }
         }
 
-        private void tell(EntryHost entry) {
+        private void sendUpdates(EntryHost entry) {
             long now = group.now();
-            String asked = CONTROL[random.nextInt(CONTROL.length)];
+            String queriedHost = CONTROL[random.nextInt(CONTROL.length)];
             for (String name : CONTROL) {
-                FakeGroup.Host control = group.hosts.get(name);
+                SimulatedGroup.Host control = group.hosts.get(name);
                 if (control.replica == null || !control.caughtUp) {
                     continue;
                 }
-                long told = newest(control.applied);
-                entry.trust.heard(told, now);
-                boolean whole = name.equals(entry.primary) || name.equals(asked);
-                if (whole && told > entry.trust.held()) {
-                    entry.trust.holds(told, now);
+                long latest = newest(control.applied);
+                entry.trust.heard(latest, now);
+                boolean sendsConfiguration = name.equals(entry.primary) || name.equals(queriedHost);
+                if (sendsConfiguration && latest > entry.trust.held()) {
+                    entry.trust.holds(latest, now);
                 }
             }
             if (!entry.trust.isConfirmed()) {
                 group.leader()
                         .ifPresent(leader -> entry.trust.confirmed(newest(leader.applied), now));
             }
-            obey(entry, now);
+            applyIfAllowed(entry, now);
         }
 
-        private void obey(EntryHost entry, long now) {
+        private void applyIfAllowed(EntryHost entry, long now) {
             if (!entry.trust.mayObey(entry.inForce, now)) {
                 return;
             }
--- a/stackhall-core/src/test/java/io/stackhall/core/replication/FakeGroup.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/replication/SimulatedGroup.java
@@ -13,7 +13,7 @@
 import java.util.TreeSet;
 
 /** Replicas of one group that exchange messages through a list, under a clock of their own. */
-final class FakeGroup {
+final class SimulatedGroup {
 
     static final long MILLI = Duration.ofMillis(1).toNanos();
     static final long TICK_MILLIS = 20;
@@ -26,14 +26,14 @@
         Replica replica;
         long incarnation;
         final List<String> applied = new ArrayList<>();
-        int reforms;
+        int formations;
         boolean caughtUp;
         Set<String> acknowledgedBefore = new TreeSet<>();
 
         /**
          * What was acknowledged before it started and not applied when it said to have caught up.
          */
-        final Set<String> missedWhenCaughtUp = new TreeSet<>();
+        final Set<String> missingWhenCaughtUp = new TreeSet<>();
 
         boolean startedBefore;
 
@@ -43,15 +43,15 @@
         }
     }
 
-    private record Outgoing(String from, String to, ReplicaEvent event) {}
+    private record InFlightEvent(String from, String to, ReplicaEvent event) {}
 
     final TreeMap<String, Host> hosts = new TreeMap<>();
     final Map<List<Long>, ReplicaId> leaderOfTerm = new HashMap<>();
     final TreeSet<String> acknowledged = new TreeSet<>();
-    final List<String> cutHosts = new ArrayList<>();
+    final List<String> partitionedHosts = new ArrayList<>();
     private final Map<Long, String> pendingByTicket = new HashMap<>();
     private final Map<String, Map<Long, Long>> ticketByIndex = new HashMap<>();
-    private final List<Outgoing> wire = new ArrayList<>();
+    private final List<InFlightEvent> network = new ArrayList<>();
     private final Random random;
     private final ReplicaSettings settings;
     private final TreeSet<String> founders = new TreeSet<>();
@@ -61,11 +61,11 @@
     private long nextTicket = 1;
     private long nextIncarnation = 1;
 
-    FakeGroup(long seed, boolean durable, String... names) {
+    SimulatedGroup(long seed, boolean durable, String... names) {
         this(seed, durable, ReplicaSettings.standard(), names);
     }
 
-    private FakeGroup(long seed, boolean durable, ReplicaSettings settings, String... names) {
+    private SimulatedGroup(long seed, boolean durable, ReplicaSettings settings, String... names) {
         random = new Random(seed);
         this.settings = settings;
         founders.addAll(List.of(names));
@@ -78,7 +78,7 @@
     }
 
     /** Returns a group whose hosts come and go, founded by three durable hosts that are named. */
-    static FakeGroup open(long seed, String... founders) {
+    static SimulatedGroup withDynamicMembership(long seed, String... founders) {
         ReplicaSettings settings =
                 new ReplicaSettings(
                         Duration.ofMillis(700),
@@ -86,7 +86,7 @@
                         Duration.ofMillis(50),
                         64,
                         founders.length);
-        return new FakeGroup(seed, true, settings, founders);
+        return new SimulatedGroup(seed, true, settings, founders);
     }
 
     /** Returns the time, in nanoseconds. */
@@ -100,7 +100,7 @@
         start(name);
     }
 
-    void faults(double lossShare, double duplicationShare) {
+    void setFaults(double lossShare, double duplicationShare) {
         loss = lossShare;
         duplication = duplicationShare;
     }
@@ -121,7 +121,7 @@
                 new Replica(
                         new ReplicaId(name, host.incarnation),
                         host.durable,
-                        foundersAsToldTo(host),
+                        configuredHosts(host),
                         settings,
                         new Random(random.nextLong()),
                         host.saved,
@@ -130,13 +130,13 @@
     }
 
     /** Only the first start of a founder may found an open group. */
-    private Set<String> foundersAsToldTo(Host host) {
-        if (!settings.open()) {
+    private Set<String> configuredHosts(Host host) {
+        if (!settings.dynamicMembership()) {
             return hosts.keySet();
         }
-        boolean founds = founders.contains(host.name) && !host.startedBefore;
+        boolean isFounder = founders.contains(host.name) && !host.startedBefore;
         host.startedBefore = true;
-        return founds ? Set.copyOf(founders) : Set.of();
+        return isFounder ? Set.copyOf(founders) : Set.of();
     }
 
     void kill(String name) {
@@ -147,7 +147,7 @@
     /** Kills a host, and with it what is on its way to it on its connections. */
     void killWithConnections(String name) {
         kill(name);
-        wire.removeIf(outgoing -> outgoing.to().equals(name));
+        network.removeIf(inFlight -> inFlight.to().equals(name));
     }
 
     void wipe(String name) {
@@ -157,7 +157,7 @@
     }
 
     void run(long millis) {
-        for (long passed = 0; passed < millis; passed += TICK_MILLIS) {
+        for (long elapsed = 0; elapsed < millis; elapsed += TICK_MILLIS) {
             now += TICK_MILLIS * MILLI;
             for (Host host : hosts.values()) {
                 step(host, new ReplicaEvent.Tick());
@@ -218,24 +218,25 @@
     }
 
     private void deliver() {
-        List<Outgoing> batch = new ArrayList<>(wire);
-        wire.clear();
+        List<InFlightEvent> batch = new ArrayList<>(network);
+        network.clear();
         if (loss > 0) {
             java.util.Collections.shuffle(batch, random);
         }
-        for (Outgoing outgoing : batch) {
-            if (random.nextDouble() < loss || isCut(outgoing)) {
+        for (InFlightEvent inFlight : batch) {
+            if (random.nextDouble() < loss || isPartitioned(inFlight)) {
                 continue;
             }
             if (random.nextDouble() < duplication) {
-                wire.add(outgoing);
+                network.add(inFlight);
             }
-            step(hosts.get(outgoing.to()), outgoing.event());
+            step(hosts.get(inFlight.to()), inFlight.event());
         }
     }
 
-    private boolean isCut(Outgoing outgoing) {
-        return cutHosts.contains(outgoing.from()) != cutHosts.contains(outgoing.to());
+    private boolean isPartitioned(InFlightEvent inFlight) {
+        return partitionedHosts.contains(inFlight.from())
+                != partitionedHosts.contains(inFlight.to());
     }
 
     private void step(Host host, ReplicaEvent event) {
@@ -243,11 +244,11 @@
             return;
         }
         for (ReplicaEffect effect : host.replica.step(event, now)) {
-            carryOut(host, effect);
+            perform(host, effect);
         }
     }
 
-    private void carryOut(Host host, ReplicaEffect effect) {
+    private void perform(Host host, ReplicaEffect effect) {
         SavedState saved = host.saved;
         switch (effect) {
             case ReplicaEffect.SaveHardState(HardState state) ->
@@ -263,41 +264,43 @@
                 host.saved = new SavedState(saved.hardState(), snapshot, kept);
             }
             case ReplicaEffect.Send(Message message) ->
-                    wire.add(
-                            new Outgoing(
+                    network.add(
+                            new InFlightEvent(
                                     host.name,
                                     message.to().host(),
                                     new ReplicaEvent.Received(message)));
-            case ReplicaEffect.Announce(Hello hello) ->
+            case ReplicaEffect.BroadcastHello(Hello hello) ->
                     hosts.keySet().stream()
                             .filter(name -> !name.equals(host.name))
                             .forEach(
                                     name ->
-                                            wire.add(
-                                                    new Outgoing(
+                                            network.add(
+                                                    new InFlightEvent(
                                                             host.name,
                                                             name,
                                                             new ReplicaEvent.HelloReceived(
                                                                     hello))));
-            case ReplicaEffect.Answer(String to, Hello hello) ->
-                    wire.add(new Outgoing(host.name, to, new ReplicaEvent.HelloReceived(hello)));
+            case ReplicaEffect.SendHello(String to, Hello hello) ->
+                    network.add(
+                            new InFlightEvent(
+                                    host.name, to, new ReplicaEvent.HelloReceived(hello)));
             case ReplicaEffect.Apply(List<Entry> entries) ->
                     entries.forEach(entry -> apply(host, entry));
             case ReplicaEffect.Restore(Snapshot snapshot) -> restore(host, snapshot);
             case ReplicaEffect.Accepted(long ticket, long term, long index) ->
                     ticketByIndex.get(host.name).put(index, ticket);
-            case ReplicaEffect.RoleChanged(Role role, long term) -> noteRole(host, role, term);
+            case ReplicaEffect.RoleChanged(Role role, long term) -> recordRole(host, role, term);
             case ReplicaEffect.CaughtUp() -> {
                 host.caughtUp = true;
-                host.missedWhenCaughtUp.addAll(host.acknowledgedBefore);
-                host.applied.forEach(host.missedWhenCaughtUp::remove);
+                host.missingWhenCaughtUp.addAll(host.acknowledgedBefore);
+                host.applied.forEach(host.missingWhenCaughtUp::remove);
             }
             case ReplicaEffect.Refused ignored -> {}
             case ReplicaEffect.ReadReady ignored -> {}
         }
     }
 
-    private void noteRole(Host host, Role role, long term) {
+    private void recordRole(Host host, Role role, long term) {
         if (role == Role.LEADER) {
             List<Long> key = List.of(host.replica.formation(), term);
             ReplicaId before = leaderOfTerm.putIfAbsent(key, host.replica.id());
@@ -318,7 +321,7 @@
                     acknowledged.add(pendingByTicket.get(ticket));
                 }
             }
-            case Payload.Reformed ignored -> host.reforms++;
+            case Payload.Reformed ignored -> host.formations++;
             case Payload.MembershipChange ignored -> {}
             case Payload.Blank ignored -> {}
         }
--- a/stackhall-core/src/test/java/io/stackhall/core/replication/SnapshotPaceTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/replication/SnapshotPolicyTest.java
@@ -9,51 +9,51 @@
  * when configurations of 40 kB are 160 MB: more than a control host's heap or disk holds, and all
  * of it was read and applied again at each start.
  */
-class SnapshotPaceTest {
+class SnapshotPolicyTest {
 
     /** A control host of the smallest kind has this much disk for everything. */
     private static final long DISK_BYTES = 128L << 20;
 
-    private final SnapshotPace pace = new SnapshotPace();
+    private final SnapshotPolicy policy = new SnapshotPolicy();
 
     @Test
-    void manyLargeChangesStayWithinAFractionOfASmallDisk() {
+    void largeCommandsUseOnlyAFractionOfASmallDisk() {
         int size = 40 << 10;
-        long most = 0;
-        long written = 0;
-        long behind = 0;
+        long maxLogBytes = 0;
+        long snapshotBytes = 0;
+        long logBytes = 0;
         int changes = 5000;
         for (int index = 1; index <= changes; index++) {
-            pace.applied(command(index, size));
-            behind += size;
-            most = Math.max(most, behind);
-            if (pace.due()) {
-                written += size;
-                behind = 0;
-                pace.covered(snapshot(index, size));
+            policy.entryApplied(command(index, size));
+            logBytes += size;
+            maxLogBytes = Math.max(maxLogBytes, logBytes);
+            if (policy.due()) {
+                snapshotBytes += size;
+                logBytes = 0;
+                policy.snapshotTaken(snapshot(index, size));
             }
         }
-        assertThat(most).isLessThan(DISK_BYTES / 50);
-        assertThat(written).isLessThan(changes * (long) size / 4);
+        assertThat(maxLogBytes).isLessThan(DISK_BYTES / 50);
+        assertThat(snapshotBytes).isLessThan(changes * (long) size / 4);
     }
 
     @Test
-    void largeStateIsNotWrittenForEachSmallChange() {
-        pace.covered(snapshot(1, 10 << 20));
+    void largeStateIsNotSavedForEachSmallCommand() {
+        policy.snapshotTaken(snapshot(1, 10 << 20));
         for (int index = 2; index < 3000; index++) {
-            pace.applied(command(index, 1000));
-            assertThat(pace.due()).isFalse();
+            policy.entryApplied(command(index, 1000));
+            assertThat(policy.due()).isFalse();
         }
     }
 
     @Test
-    void smallChangesAreBoundedByTheirNumber() {
+    void smallCommandsAreBoundedByEntryCount() {
         for (int index = 1; index < 4000; index++) {
-            pace.applied(command(index, 20));
-            assertThat(pace.due()).isFalse();
+            policy.entryApplied(command(index, 20));
+            assertThat(policy.due()).isFalse();
         }
-        pace.applied(command(4000, 20));
-        assertThat(pace.due()).isTrue();
+        policy.entryApplied(command(4000, 20));
+        assertThat(policy.due()).isTrue();
     }
 
     private static Entry command(long index, int bytes) {
--- a/stackhall-server/src/main/java/io/stackhall/server/group/GroupHost.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/group/GroupHost.java
@@ -307,8 +307,9 @@
                 syncIfNeeded();
                 wire.send(group, message);
             }
-            case ReplicaEffect.Announce(Hello hello) -> wire.announce(group, hello);
-            case ReplicaEffect.Answer(String host, Hello hello) -> wire.answer(group, host, hello);
+            case ReplicaEffect.BroadcastHello(Hello hello) -> wire.announce(group, hello);
+            case ReplicaEffect.SendHello(String host, Hello hello) ->
+                    wire.answer(group, host, hello);
             case ReplicaEffect.Apply(List<Entry> entries) -> {
                 syncIfNeeded();
                 machine.apply(entries);
--- a/stackhall-server/src/main/java/io/stackhall/server/group/StateMachine.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/group/StateMachine.java
@@ -3,7 +3,7 @@
 import io.stackhall.core.replication.Entry;
 import io.stackhall.core.replication.Payload;
 import io.stackhall.core.replication.Snapshot;
-import io.stackhall.core.replication.SnapshotPace;
+import io.stackhall.core.replication.SnapshotPolicy;
 import java.util.List;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
@@ -20,7 +20,7 @@
     private final GroupState state;
     private final GroupListener listener;
     private final Tickets tickets;
-    private final SnapshotPace pace = new SnapshotPace();
+    private final SnapshotPolicy snapshotPolicy = new SnapshotPolicy();
     private long appliedIndex;
     private boolean caughtUp;
 
@@ -45,12 +45,12 @@
 
     /** Returns whether the state should be saved as a snapshot. */
     boolean snapshotDue() {
-        return pace.due();
+        return snapshotPolicy.due();
     }
 
     /** Notes that a snapshot of what is applied has been saved. */
     void covered(Snapshot snapshot) {
-        pace.covered(snapshot);
+        snapshotPolicy.snapshotTaken(snapshot);
     }
 
     GroupState state() {
@@ -87,7 +87,7 @@
     private void takeOver(Snapshot snapshot) {
         state.restore(snapshot.state());
         appliedIndex = snapshot.lastIndex();
-        pace.covered(snapshot);
+        snapshotPolicy.snapshotTaken(snapshot);
     }
 
     /**
@@ -111,7 +111,7 @@
             }
         }
         appliedIndex = entry.index();
-        pace.applied(entry);
+        snapshotPolicy.entryApplied(entry);
         tickets.applied(entry.index(), result);
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/peer/ReplicationCodec.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/peer/ReplicationCodec.java
@@ -85,7 +85,7 @@
         return io.stackhall.rpc.generated.peer.Hello.newBuilder()
                 .setGroup(group)
                 .setReplica(encode(hello.replica()))
-                .setFresh(hello.fresh())
+                .setFresh(hello.emptyLog())
                 .setDurable(hello.durable())
                 .setFormation(hello.formation())
                 .setLastTerm(hello.lastTerm())
