--- a/stackhall-core/src/main/java/io/stackhall/core/replication/Elections.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/Elections.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** How a replica stands for election and votes. */
+/** Runs elections for a replica: starts them after a timeout, requests votes and grants them. */
 final class Elections {
 
     private final ReplicaState state;
@@ -22,7 +22,12 @@
         }
     }
 
-    /** Stands for election: by a pre-vote first, or at once when the leader asks for it. */
+    /**
+     * Starts an election.
+     *
+     * @param transfer whether the leader transfers its leadership to this replica; the election
+     *     then skips the pre-vote
+     */
     void startElection(boolean transfer, long now) {
         state.resetElectionDeadline(now);
         if (state.role() == Role.LEADER) {
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/Entry.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/Entry.java
@@ -5,13 +5,13 @@
 /**
  * One entry of the replicated log.
  *
- * @param term the term of the leader that appended it
- * @param index its place in the log, from 1
- * @param payload what it carries
+ * @param term term of the leader that appended the entry
+ * @param index position in the log, starting at 1
+ * @param payload content of the entry
  */
 public record Entry(long term, long index, Payload payload) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public Entry {
         Objects.requireNonNull(payload, "payload");
         if (index < 1) {
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/EntryLog.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/EntryLog.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** The entries behind the latest snapshot, in memory, with the membership at each place. */
+/**
+ * In-memory log of the entries that follow the latest snapshot, with the membership in force at
+ * each index.
+ */
 final class EntryLog {
 
     private final List<Entry> entries = new ArrayList<>();
@@ -33,12 +36,15 @@
         return memberships.lastEntry().getValue();
     }
 
-    /** Returns where the membership in force was appended. */
+    /** Returns the index of the entry that set the membership in force. */
     long membershipIndex() {
         return memberships.lastKey();
     }
 
-    /** Returns the term at an index, or -1 where the log does not reach. */
+    /**
+     * Returns the term of the entry at an index, or -1 if the entry is covered by the snapshot or
+     * beyond the end of the log.
+     */
     long termAt(long index) {
         if (index == snapshot.lastIndex()) {
             return snapshot.lastTerm();
@@ -75,7 +81,7 @@
         memberships.tailMap(index, true).clear();
     }
 
-    /** Replaces what is covered by a snapshot taken here; the entries behind it stay. */
+    /** Replaces all entries up to an index by a snapshot taken locally and keeps later entries. */
     Snapshot compact(long index, byte[] state) {
         long term = termAt(index);
         Membership membership = memberships.floorEntry(index).getValue();
@@ -86,7 +92,7 @@
         return snapshot;
     }
 
-    /** Replaces the whole log by a snapshot taken elsewhere. */
+    /** Replaces the whole log by a snapshot received from the leader. */
     void replaceWith(Snapshot replacement) {
         entries.clear();
         memberships.clear();
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/FollowerProgress.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/FollowerProgress.java
@@ -1,6 +1,6 @@
 package io.stackhall.core.replication;
 
-/** What a leader knows of one other replica's log. */
+/** A leader's view of the log of one other replica. */
 final class FollowerProgress {
 
     private long matchIndex;
@@ -26,7 +26,7 @@
         return acknowledgedRound;
     }
 
-    /** Returns whether the replica has answered within a period before now. */
+    /** Returns whether the replica has replied within the given time before now. */
     boolean activeWithin(long nanos, long now) {
         return replied && now - lastReply < nanos;
     }
@@ -47,17 +47,20 @@
         nextIndex = Math.max(matchIndex + 1, Math.min(nextIndex - 1, lastIndexOfReplica + 1));
     }
 
-    /** Notes that entries up to an index are on their way. */
+    /** Records that entries up to an index have been sent and not yet acknowledged. */
     void recordSent(long upTo) {
         nextIndex = Math.max(nextIndex, upTo + 1);
     }
 
-    /** Forgets what is on its way and starts again behind what is known to match. */
+    /** Resends from the first entry that the replica has not acknowledged. */
     void rewindToMatch() {
         nextIndex = matchIndex + 1;
     }
 
-    /** Returns whether a snapshot should be sent now rather than awaited. */
+    /**
+     * Returns whether a snapshot should be sent now: none has been sent since the last match, or
+     * the last one was sent at least the retry interval ago.
+     */
     boolean snapshotDue(long retryNanos, long now) {
         return snapshotSentAt == 0 || now - snapshotSentAt >= retryNanos;
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/FollowerRole.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/FollowerRole.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a replica does with a leader's entries and snapshots. */
+/** Handles the entries and snapshots that a follower receives from its leader. */
 final class FollowerRole {
 
     private final ReplicaState state;
@@ -37,8 +37,9 @@
     }
 
     /**
-     * A leader knows all that was committed before it only once an entry of its own term is. Until
-     * then its commit index may lie far behind.
+     * Marks this replica as caught up once an entry of the leader's term is committed. Only then
+     * does the leader know every entry committed in earlier terms; before, its commit index may be
+     * far behind.
      */
     private void checkCaughtUp(long leaderTerm) {
         if (state.log().termAt(state.commit()) == leaderTerm) {
@@ -46,7 +47,10 @@
         }
     }
 
-    /** Takes a snapshot; entries that are held already were acknowledged and must stay. */
+    /**
+     * Installs a snapshot, unless the log already contains the entry it ends with. Entries after
+     * that one were acknowledged to the leader and must not be dropped.
+     */
     void handleSnapshotRequest(Message message, Message.SnapshotRequest request, long now) {
         if (!acceptLeader(message, now)) {
             return;
@@ -71,7 +75,7 @@
         return true;
     }
 
-    /** Appends what is new; drops the own entries that conflict. */
+    /** Appends the entries that are not in the log yet, dropping local entries that conflict. */
     private void appendNewEntries(List<Entry> entries) {
         EntryLog log = state.log();
         int known = 0;
@@ -86,7 +90,7 @@
         long first = added.getFirst().index();
         if (first <= state.commit()) {
             throw new IllegalStateException(
-                    "entry " + first + " conflicts with a committed one of " + state.self());
+                    "entry " + first + " conflicts with a committed entry of " + state.self());
         }
         if (first <= log.lastIndex()) {
             log.truncateFrom(first);
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/GroupFormation.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/GroupFormation.java
@@ -7,17 +7,20 @@
 import java.util.Optional;
 
 /**
- * Founds a group, and founds it again when too few replicas still hold its state.
+ * Forms a group, and forms it again when fewer voters than a quorum still hold its state.
  *
- * <p>Every host of the group must have been heard from. If no replica holds any state, the first
- * host founds the group. If some do, but too few of its voters are left for a quorum, the one with
- * the most complete log founds it again: since every host runs one process, the voters that are
- * missing are known to have lost their memory. A replica that holds no entry never stands for
- * election, so the founder's log is the one that is kept.
+ * <p>Each time a group is formed it gets a new random formation number. Replicas ignore messages of
+ * other formations.
+ *
+ * <p>A group is formed only after every host of it has answered. If no replica holds any state, the
+ * host that sorts first forms the group. If some do, but too few of its voters are left for a
+ * quorum, the replica with the most complete log forms it again: since every host runs one process,
+ * a voter is known to have lost its state once its host reports another replica id. A replica with
+ * an empty log never starts an election, so the log of the replica that formed the group is kept.
  */
 final class GroupFormation {
 
-    /** Answers to older asks than this many before the last one are forgotten. */
+    /** An answer counts until this many further hello requests have been sent. */
     private static final int RETAINED_REQUESTS = 6;
 
     private static final long TERM_INCREMENT = 1;
@@ -36,7 +39,10 @@
         this.nextHello = now;
     }
 
-    /** Notes who a host's replica is, and answers. */
+    /**
+     * Records the replica of another host, and answers if an answer is requested. A leader also
+     * sends the formation to a member that reports a different one.
+     */
     void receiveHello(Hello hello, long now) {
         latestHellos.put(hello.replica().host(), hello);
         if (hello.answers() != 0) {
@@ -65,7 +71,12 @@
         }
     }
 
-    /** Returns whether a message from another formation makes this empty replica part of it. */
+    /**
+     * Joins the formation of a message if this replica has an empty log and the message comes from
+     * a leader.
+     *
+     * @return whether this replica now belongs to the formation of the message
+     */
     boolean adoptFormation(Message message) {
         boolean fromLeader =
                 message.body() instanceof Message.SnapshotRequest
@@ -134,7 +145,7 @@
         awaitElection(now);
     }
 
-    /** Gives the new formation time to elect a leader. */
+    /** Blocks another formation for two election timeouts, so that this one can elect a leader. */
     private void awaitElection(long now) {
         electionWaitEnd = now + 2 * state.settings().electionTimeout().toNanos();
         firstValidRequest = lastRequest + 1;
@@ -150,8 +161,9 @@
     }
 
     /**
-     * Returns whether acknowledged commands may be missing: always after a survivor's founding, and
-     * after a first one where no replica has a disk that would have kept them.
+     * Returns whether acknowledged commands may be missing. They may be whenever a replica with
+     * state forms the group again, and also when all replicas are empty and none of them has a disk
+     * that would have kept the commands.
      */
     private boolean mayHaveLostCommands() {
         if (!state.emptyLog()) {
@@ -160,7 +172,10 @@
         return !state.durable() && latestAnswers.values().stream().noneMatch(Hello::durable);
     }
 
-    /** Returns whether every host has answered a recent ask of the time without a leader. */
+    /**
+     * Returns whether every host has answered a recent hello request that was sent since this
+     * replica lost its leader.
+     */
     private boolean everyHostAnswered() {
         long oldest = Math.max(firstValidRequest, lastRequest - RETAINED_REQUESTS);
         return state.hosts().stream()
@@ -175,12 +190,15 @@
                 && answer.replica().equals(latestHellos.get(host).replica());
     }
 
-    /** Returns whether this replica may found the group at all. */
+    /** Returns whether the host of this replica is one of those that may form the group. */
     private boolean mayForm() {
         return state.hosts().contains(state.self().host());
     }
 
-    /** Never where hosts come and go: one that is not heard of may still hold the log elsewhere. */
+    /**
+     * Returns whether fewer voters than a quorum still hold their state. With dynamic membership
+     * this is never known, since an unknown host may still hold the log.
+     */
     private boolean quorumLost() {
         if (state.settings().dynamicMembership() || !everyHostAnswered()) {
             return false;
@@ -190,15 +208,18 @@
     }
 
     /**
-     * A voter is known to be gone once its host has spoken with another incarnation. That is never
-     * taken back, so an old message can delay the verdict but not falsify it.
+     * Returns whether a voter may still hold its state: its host has not reported another
+     * incarnation. An incarnation never comes back, so a delayed message can postpone the detection
+     * of a loss but not cause a false one.
      */
     private boolean mayHoldState(ReplicaId voter) {
         Hello latest = latestHellos.get(voter.host());
         return voter.equals(state.self()) || (latest != null && latest.replica().equals(voter));
     }
 
-    /** Returns whether no other host's replica has a better claim to found the group. */
+    /**
+     * Returns whether this replica has the most complete log, or the lowest id among equal logs.
+     */
     private boolean preferredFounder() {
         return latestAnswers.values().stream()
                 .filter(hello -> state.hosts().contains(hello.replica().host()))
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/HardState.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/HardState.java
@@ -4,16 +4,16 @@
 import java.util.Optional;
 
 /**
- * What a replica must not forget between two steps, beside its log.
+ * State, besides the log, that a replica must persist before it sends messages that depend on it.
  *
- * @param formation the founding of the group that the replica belongs to, 0 before it belongs to
- *     any
+ * @param formation random number of the group formation that the replica belongs to, or 0 if it
+ *     belongs to none yet
  * @param term the latest term seen
- * @param vote whom the replica voted for in that term
+ * @param vote the candidate that the replica voted for in that term
  */
 public record HardState(long formation, long term, Optional<ReplicaId> vote) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public HardState {
         Objects.requireNonNull(vote, "vote");
         if (term < 0) {
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/Hello.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/Hello.java
@@ -1,15 +1,16 @@
 package io.stackhall.core.replication;
 
 /**
- * What a replica tells every host of its group about itself while it may not belong to the group.
+ * Self-description that a replica sends to every host of its group while it has no leader or is not
+ * a voter, so that the group can be formed or the replica added to it.
  *
  * @param replica the sender
- * @param durable whether its state outlives its process
- * @param formation the formation it belongs to, or 0
- * @param lastTerm term of its last entry
- * @param lastIndex index of its last entry, 0 when it holds nothing
- * @param ask a number to be returned in an answer, or 0 where none is wanted
- * @param answers the receiver's ask that this answers, or 0
+ * @param durable whether the sender's state survives a restart of its process
+ * @param formation the formation that the sender belongs to, or 0 for none
+ * @param lastTerm term of the sender's last entry
+ * @param lastIndex index of the sender's last entry, or 0 if its log is empty
+ * @param ask request number to be returned in an answer, or 0 if no answer is requested
+ * @param answers number of the receiver's request that this hello answers, or 0
  */
 public record Hello(
         ReplicaId replica,
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/LeaderLease.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/LeaderLease.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * Counts a leader's lease from before it asked: from the time of the latest broadcast that a quorum
- * has answered.
+ * Tracks a leader's lease. The lease starts at the time the leader sent the latest broadcast that a
+ * quorum has answered, so it never outlasts the promises of the followers.
  */
 final class LeaderLease {
 
@@ -22,20 +22,25 @@
         this.leaseNanos = leaseNanos;
     }
 
-    /** Forgets everything and starts with the first round of a new leadership. */
+    /** Discards the lease and the rounds of an earlier leadership. */
     void reset() {
         sentAt.clear();
         granted = false;
     }
 
-    /** Starts a round of broadcasts. */
+    /**
+     * Starts a broadcast round.
+     *
+     * @param now the monotonic clock, in nanoseconds
+     * @return the number of the round, which followers return in their replies
+     */
     long beginRound(long now) {
         round++;
         sentAt.put(round, now);
         return round;
     }
 
-    /** Renews the lease by what the voters have answered. */
+    /** Extends the lease to the latest round that a quorum of voters has acknowledged. */
     void renew(Membership membership, ReplicaId self, Map<ReplicaId, FollowerProgress> progress) {
         List<Long> answered = new ArrayList<>();
         for (ReplicaId voter : membership.voters()) {
@@ -67,7 +72,7 @@
         return granted && now - expiresAt < 0;
     }
 
-    /** Returns whether the lease ended longer ago than a period, or was never granted. */
+    /** Returns whether the lease was granted and has been expired for at least the given time. */
     boolean expiredFor(long nanos, long now) {
         return granted && now - expiresAt >= nanos;
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/LeaderRole.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/LeaderRole.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What a leader does: append, replicate, commit, keep its lease and change the membership. */
+/**
+ * The leader's part of the protocol: appends, replicates and commits entries, renews the lease and
+ * changes the membership.
+ */
 final class LeaderRole {
 
     private static final int SNAPSHOT_RETRY_HEARTBEATS = 10;
@@ -102,7 +105,12 @@
         }
     }
 
-    /** Asks the most complete voter to stand, and takes nothing more as the leader. */
+    /**
+     * Transfers leadership to the next active voter with a complete log, if there is one, and steps
+     * down.
+     *
+     * @param stopping whether to refuse further proposals even if no voter can take over
+     */
     void transfer(boolean stopping, long now) {
         if (state.role() != Role.LEADER) {
             return;
@@ -150,7 +158,10 @@
         return lease.expiresAt();
     }
 
-    /** Returns whether an entry of the own term is committed, so that the commit index is right. */
+    /**
+     * Returns whether an entry of the leader's own term is committed. Only then does the commit
+     * index include every entry committed in earlier terms.
+     */
     private boolean ready() {
         return state.commit() >= firstOwnIndex;
     }
@@ -248,7 +259,7 @@
         }
     }
 
-    /** A leader that a committed change has removed steps down. */
+    /** Steps down if a committed membership change has removed this replica. */
     private void stepDownIfRemoved(long before) {
         boolean removed = !state.isVoter() && state.log().membershipIndex() <= state.commit();
         if (state.commit() > before && removed) {
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/Membership.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/Membership.java
@@ -10,8 +10,9 @@
 /**
  * The replicas of a group: voters, which count towards a quorum, and learners, which do not.
  *
- * @param voters the voting replicas, in order of their ids
- * @param learners the replicas that only follow, disjoint from the voters
+ * @param voters the voting replicas, sorted by id
+ * @param learners the replicas that receive the log without a vote, sorted by id and disjoint from
+ *     the voters
  */
 public record Membership(List<ReplicaId> voters, List<ReplicaId> learners) {
 
@@ -26,12 +27,12 @@
         }
     }
 
-    /** Returns a membership of nobody. */
+    /** Returns a membership without replicas. */
     public static Membership empty() {
         return new Membership(List.of(), List.of());
     }
 
-    /** Returns how many voters make a majority. */
+    /** Returns the number of voters that form a majority. */
     public int quorum() {
         return voters.size() / 2 + 1;
     }
@@ -41,7 +42,7 @@
         return voters.contains(replica) || learners.contains(replica);
     }
 
-    /** Returns the other voters in turn, the one that follows a replica first. */
+    /** Returns the other voters in cyclic order of their ids, starting after the given replica. */
     public List<ReplicaId> votersAfter(ReplicaId self) {
         List<ReplicaId> rotated = new ArrayList<>(voters);
         int position = voters.indexOf(self);
@@ -52,7 +53,7 @@
         return rotated;
     }
 
-    /** Returns every replica except one. */
+    /** Returns all voters and learners except the given replica. */
     public List<ReplicaId> allExcept(ReplicaId self) {
         List<ReplicaId> others = new ArrayList<>(voters);
         others.addAll(learners);
@@ -60,12 +61,12 @@
         return others;
     }
 
-    /** Returns the voter that a host runs, if there is one. */
+    /** Returns the voter on a host, if there is one. */
     public Optional<ReplicaId> voterOnHost(String host) {
         return voters.stream().filter(voter -> voter.host().equals(host)).findFirst();
     }
 
-    /** Returns this membership with a learner in place of any other learner of its host. */
+    /** Returns this membership with a learner added, replacing other learners on its host. */
     public Membership withLearner(ReplicaId learner) {
         List<ReplicaId> next = new ArrayList<>(learners);
         next.removeIf(other -> other.host().equals(learner.host()));
@@ -73,7 +74,7 @@
         return new Membership(voters, next);
     }
 
-    /** Returns this membership with a learner made a voter. */
+    /** Returns this membership with a learner promoted to voter. */
     public Membership withPromoted(ReplicaId learner) {
         List<ReplicaId> nextVoters = new ArrayList<>(voters);
         nextVoters.add(learner);
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/MembershipChangePlanner.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/MembershipChangePlanner.java
@@ -5,25 +5,26 @@
 import java.util.TreeMap;
 
 /**
- * Decides a leader's next change of membership, one replica at a time.
+ * Plans the leader's membership changes, which add, promote or remove one replica at a time.
  *
- * <p>A replica that is not known is added as a learner. Once it has caught up, the voter that its
- * host ran before is removed, and it is promoted. No change starts before the last one is
- * committed.
+ * <p>A replica that is not a member yet is added as a learner. Once it has caught up, the previous
+ * voter on its host is removed and the learner is promoted. No change starts before the previous
+ * one is committed.
  *
- * <p>Where hosts come and go, a learner is promoted while voters are missing, and otherwise only
- * takes the place of a voter that has been silent for long; the rest stay learners.
+ * <p>With dynamic membership, a learner is promoted only while the group has fewer voters than
+ * configured, or to replace a voter that has been silent for too long; other learners remain
+ * learners.
  */
 final class MembershipChangePlanner {
 
     /**
-     * Silence after which another replica takes a voter's place, in election timeouts: beyond the
-     * restart of a process (1 to 3 s), and short enough that a second loss 4 s after the first
-     * finds the group whole again.
+     * Time without a reply after which a voter is replaced, in election timeouts. It is longer than
+     * a process restart (1 to 3 s), and short enough that the group is complete again when a second
+     * voter fails 4 s after the first.
      */
     private static final int SILENT_VOTER_TIMEOUTS = 3;
 
-    /** Silence after which a learner is dropped, in election timeouts. */
+    /** Time without a reply after which a learner is removed, in election timeouts. */
     private static final int SILENT_LEARNER_TIMEOUTS = 30;
 
     private final ReplicaState state;
@@ -34,18 +35,18 @@
         this.state = state;
     }
 
-    /** What an operator's change comes to. */
+    /** Result of a removal that an operator requested. */
     sealed interface Decision {}
 
-    /** The membership to append. */
+    /** The removal is allowed and leads to this membership. */
     record Next(Membership membership) implements Decision {}
 
-    /** Why the change would harm the group. */
+    /** The removal is refused for this reason. */
     record Refused(String reason) implements Decision {}
 
     private record ReceivedHello(Hello hello, long receivedAt) {}
 
-    /** Starts counting silence anew: a new leader has heard from nobody yet. */
+    /** Restarts the silence timeouts, since a new leader has not received any reply yet. */
     void leadershipStarted(long now) {
         leaderSince = now;
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/Message.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/Message.java
@@ -4,33 +4,33 @@
 import java.util.Objects;
 
 /**
- * A message between two replicas of a group. Messages may be lost, doubled and reordered.
+ * A message between two replicas of a group. Messages may be lost, duplicated and reordered.
  *
  * @param from the sender
- * @param to the receiver; a replica drops what is meant for an earlier incarnation
+ * @param to the receiver; a replica drops messages that address an earlier incarnation of it
  * @param formation the sender's formation
- * @param term the sender's term, or the term asked about in a pre-vote
- * @param body what is said
+ * @param term the sender's term, or the prospective term in a pre-vote
+ * @param body content of the message
  */
 public record Message(ReplicaId from, ReplicaId to, long formation, long term, Body body) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public Message {
         Objects.requireNonNull(from, "from");
         Objects.requireNonNull(to, "to");
         Objects.requireNonNull(body, "body");
     }
 
-    /** What a message says. */
+    /** Content of a message. */
     public sealed interface Body {}
 
     /**
-     * Asks for a vote.
+     * Requests a vote.
      *
      * @param lastIndex index of the candidate's last entry
      * @param lastTerm term of that entry
-     * @param preVote whether it only asks if a vote would be given
-     * @param transfer whether the leader asked the candidate to stand
+     * @param preVote whether the candidate only asks if the vote would be granted
+     * @param transfer whether the leader transfers its leadership to the candidate
      */
     public record VoteRequest(long lastIndex, long lastTerm, boolean preVote, boolean transfer)
             implements Body {}
@@ -39,13 +39,14 @@
     public record VoteReply(boolean granted, boolean preVote) implements Body {}
 
     /**
-     * Appends entries behind a known one, or only keeps the leader's lease alive.
+     * Appends entries after a given one. Without entries it is a heartbeat that renews the leader's
+     * lease.
      *
      * @param previousIndex index of the entry before the first one sent
      * @param previousTerm term of that entry
-     * @param entries what to append, in order
+     * @param entries the entries to append, in order
      * @param commit the leader's commit index
-     * @param round the leader's count of broadcasts, returned in the reply
+     * @param round number of the leader's broadcast round, returned in the reply
      */
     public record AppendRequest(
             long previousIndex, long previousTerm, List<Entry> entries, long commit, long round)
@@ -54,9 +55,10 @@
     /**
      * Answers an {@link AppendRequest} or a {@link SnapshotRequest}.
      *
-     * @param success whether the entries are in the follower's log
-     * @param matchIndex on success the last entry known to match, otherwise the follower's last one
-     * @param round the round that is answered
+     * @param success whether the follower's log contains the entries
+     * @param matchIndex on success the index of the last entry known to match; otherwise the index
+     *     after which the leader should retry
+     * @param round the broadcast round that this answers
      */
     public record AppendReply(boolean success, long matchIndex, long round) implements Body {}
 
@@ -64,14 +66,14 @@
     public record SnapshotRequest(Snapshot snapshot, long round) implements Body {}
 
     /**
-     * Founds the group, or founds it again after too many replicas lost their state.
+     * Forms the group, or forms it again after too many replicas have lost their state.
      *
      * @param membership the replicas of the new formation
-     * @param lastTerm term of the founder's last entry
-     * @param lastIndex index of the founder's last entry
+     * @param lastTerm term of the sender's last entry
+     * @param lastIndex index of the sender's last entry
      */
     public record Form(Membership membership, long lastTerm, long lastIndex) implements Body {}
 
-    /** Asks a caught-up follower to stand for election at once. */
+    /** Asks a caught-up follower to start an election immediately. */
     public record TimeoutNow() implements Body {}
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/Payload.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/Payload.java
@@ -2,13 +2,13 @@
 
 import java.util.Arrays;
 
-/** What a log entry carries. */
+/** Content of a log entry. */
 public sealed interface Payload {
 
     /**
-     * A command of the embedding state machine.
+     * A command for the replicated state machine.
      *
-     * @param bytes the encoded command; neither side changes it afterwards
+     * @param bytes the encoded command; the array is shared and must not be modified
      */
     record Command(byte[] bytes) implements Payload {
         @Override
@@ -28,17 +28,18 @@
     }
 
     /**
-     * A change of the group's membership, in force from the moment it is appended.
+     * A change of the group's membership, which takes effect as soon as it is appended.
      *
      * @param membership the whole membership after the change
      */
     record MembershipChange(Membership membership) implements Payload {}
 
-    /** The empty entry by which a new leader commits what earlier terms left behind. */
+    /** Empty entry that a new leader appends so that entries of earlier terms get committed. */
     record Blank() implements Payload {}
 
     /**
-     * Says that the group came back from fewer replicas than a quorum.
+     * Records that the group was formed, either for the first time or again from fewer replicas
+     * than a quorum.
      *
      * @param memoryLost whether acknowledged commands may be missing from the log
      */
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/Replica.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/Replica.java
@@ -8,11 +8,10 @@
 /**
  * One replica of a replicated log, as a plain object that takes events and returns effects.
  *
- * <p>Use it where a few processes must agree on a sequence of commands and survive the loss of a
- * minority of themselves. The embedding driver gives it events on one thread, with the host's
- * monotonic clock, and carries the effects out in order. It elects a leader with pre-votes and
- * terms, gives the leader a lease, replicates and commits commands, cuts its log by snapshots and
- * changes its membership one replica at a time.
+ * <p>The protocol is Raft with pre-votes, leader leases, snapshots, and membership changes of one
+ * replica at a time. It lets a few processes agree on a sequence of commands and survive the
+ * failure of a minority of them. The driver passes in events on a single thread, with the time of
+ * the host's monotonic clock, and performs the returned effects in order.
  *
  * @see ReplicaEvent
  * @see ReplicaEffect
@@ -28,13 +27,13 @@
     /**
      * Creates a replica.
      *
-     * @param self its id
-     * @param durable whether what it saves outlives its process
-     * @param hosts every host that may run a replica of the group; in a group whose hosts come and
-     *     go the hosts that found it, empty on a host that only joins
-     * @param settings times and bounds
+     * @param self id of this replica
+     * @param durable whether saved state survives a restart of the process
+     * @param hosts every host that may run a replica of the group; with dynamic membership only the
+     *     hosts that form the group, and empty on a host that only joins
+     * @param settings timeouts and limits
      * @param random source of election delays and formation numbers
-     * @param saved what its storage holds
+     * @param saved the state found in storage
      * @param now the monotonic clock, in nanoseconds
      */
     public Replica(
@@ -46,7 +45,7 @@
             SavedState saved,
             long now) {
         if (!settings.dynamicMembership() && !hosts.contains(self.host())) {
-            throw new IllegalArgumentException(self + " is on none of the group's hosts " + hosts);
+            throw new IllegalArgumentException(self + " is not on a host of the group: " + hosts);
         }
         state = new ReplicaState(self, durable, hosts, settings, random, saved, now);
         leaderRole = new LeaderRole(state);
@@ -56,11 +55,11 @@
     }
 
     /**
-     * Takes one event.
+     * Processes one event.
      *
-     * @param event what has happened
+     * @param event the event
      * @param now the monotonic clock, in nanoseconds
-     * @return what to do, in order
+     * @return the effects to perform, in order
      */
     public List<ReplicaEffect> step(ReplicaEvent event, long now) {
         switch (event) {
@@ -83,22 +82,25 @@
         return state.self();
     }
 
-    /** Returns the role it plays. */
+    /** Returns the current role. */
     public Role role() {
         return state.role();
     }
 
-    /** Returns its term. */
+    /** Returns the current term. */
     public long term() {
         return state.term();
     }
 
-    /** Returns the founding of the group that it belongs to; terms compare only within one. */
+    /**
+     * Returns the number of the formation that this replica belongs to, or 0 for none. Terms are
+     * comparable only within one formation.
+     */
     public long formation() {
         return state.formation();
     }
 
-    /** Returns the leader it follows, or itself, or nothing. */
+    /** Returns the current leader, which may be this replica, if one is known. */
     public Optional<ReplicaId> leader() {
         return state.leader();
     }
@@ -108,12 +110,12 @@
         return state.commit();
     }
 
-    /** Returns the index of the last entry of its log. */
+    /** Returns the index of the last entry in the log. */
     public long lastIndex() {
         return state.log().lastIndex();
     }
 
-    /** Returns the index up to which the log has been cut. */
+    /** Returns the index of the last entry that the latest snapshot covers. */
     public long snapshotIndex() {
         return state.log().snapshot().lastIndex();
     }
@@ -124,8 +126,9 @@
     }
 
     /**
-     * Returns whether this replica may act as the only leader now: its lease, counted from before
-     * it asked, has not ended, and an entry of its own term is committed.
+     * Returns whether this replica is guaranteed to be the only leader now: its lease, which starts
+     * when the renewing broadcast was sent, has not expired, and an entry of its own term is
+     * committed.
      *
      * @param now the monotonic clock, in nanoseconds
      */
@@ -134,8 +137,8 @@
     }
 
     /**
-     * Returns until when the lease lasts, on the monotonic clock in nanoseconds, or now where there
-     * is none.
+     * Returns the expiry time of the lease, on the monotonic clock in nanoseconds, or {@code now}
+     * if this replica holds none.
      *
      * @param now the monotonic clock, in nanoseconds
      */
@@ -182,7 +185,8 @@
             case Message.SnapshotRequest request ->
                     followerRole.handleSnapshotRequest(message, request, now);
             case Message.TimeoutNow ignored -> elections.startElection(true, now);
-            case Message.Form ignored -> throw new IllegalStateException("handled above");
+            case Message.Form ignored ->
+                    throw new IllegalStateException("Form messages are handled before");
         }
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/ReplicaEvent.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/ReplicaEvent.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** What can happen to a replica. */
+/** Input of a replica. */
 public sealed interface ReplicaEvent {
 
-    /** Time has passed; to be given several times within a heartbeat interval. */
+    /** Time has passed; must be passed in several times per heartbeat interval. */
     record Tick() implements ReplicaEvent {}
 
-    /** A message has come from another replica. */
+    /** A message from another replica was received. */
     record Received(Message message) implements ReplicaEvent {}
 
-    /** Another host of the group has described its replica. */
+    /** A hello from another host of the group was received. */
     record HelloReceived(Hello hello) implements ReplicaEvent {}
 
     /**
@@ -26,32 +26,34 @@
         }
     }
 
-    /** A question whether the state machine may be read now as the leader's current state. */
+    /**
+     * Requests a linearizable read of the state machine, which only a leader with a lease allows.
+     */
     record Read(long ticket) implements ReplicaEvent {}
 
-    /** The state machine's state after an applied entry, to cut the log. */
+    /** Truncates the log up to an applied entry, given the state machine's state after it. */
     record Compact(long index, byte[] state) implements ReplicaEvent {}
 
     /**
-     * Hand leadership over to the next voter that is caught up.
+     * Transfers leadership to the next voter that has caught up.
      *
-     * @param stopping whether the process is about to stop, and takes no more proposals even if
-     *     nobody can follow it
+     * @param stopping whether the process is about to stop and refuses further proposals even if no
+     *     voter can take over
      */
     record Transfer(boolean stopping) implements ReplicaEvent {}
 
     /**
-     * An operator removes the replica of a host.
+     * Removes the voter on a host, as requested by an operator.
      *
-     * @param ticket names the request in the answer
-     * @param host whose replica to remove
+     * @param ticket identifies the request in the effects that answer it
+     * @param host the host of the voter
      */
     record RemoveReplica(long ticket, String host) implements ReplicaEvent {}
 
     /**
      * One command to append.
      *
-     * @param ticket names the command in the effects that answer it
+     * @param ticket identifies the command in the effects that answer it
      * @param command the encoded command
      */
     record Proposal(long ticket, byte[] command) {}
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/ReplicaId.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/ReplicaId.java
@@ -4,20 +4,21 @@
 import java.util.Objects;
 
 /**
- * Names one replica: the host that runs it and the incarnation of its state.
+ * Identifies a replica by its host and the incarnation of its state.
  *
- * <p>A durable replica keeps its incarnation with its data folder. A replica without a disk draws a
- * new one at each start, so that a host that lost its memory never votes as the one before it.
+ * <p>A durable replica stores its incarnation in its data folder. A replica without a disk draws a
+ * new one at each start, so that after losing its state it is a different voter and cannot vote
+ * twice in a term.
  *
- * @param host the host's name, not blank
- * @param incarnation a number drawn when the state was created, not zero
+ * @param host name of the host, not blank
+ * @param incarnation random number drawn when the state was created, not zero
  */
 public record ReplicaId(String host, long incarnation) implements Comparable<ReplicaId> {
 
     private static final Comparator<ReplicaId> ORDER =
             Comparator.comparing(ReplicaId::host).thenComparingLong(ReplicaId::incarnation);
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public ReplicaId {
         Objects.requireNonNull(host, "host");
         if (host.isBlank()) {
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/ReplicaSettings.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/ReplicaSettings.java
@@ -4,15 +4,14 @@
 import java.util.Objects;
 
 /**
- * The times and bounds of a replica.
+ * Timeouts and limits of a replica.
  *
- * @param electionTimeout the least time without a leader before a follower stands; a lease never
- *     outlasts it
+ * @param electionTimeout minimum time without contact from a leader before a follower starts an
+ *     election; a lease is never longer
  * @param heartbeat the interval between a leader's broadcasts
- * @param driftMargin how far two hosts' monotonic clocks may drift apart during one lease
- * @param maxEntriesPerMessage the most entries in one message
- * @param voters how many replicas vote in a group whose hosts come and go, or 0 where every host
- *     that the settings name has a vote
+ * @param driftMargin how far the monotonic clocks of two hosts may drift apart during one lease
+ * @param maxEntriesPerMessage maximum number of entries in one message
+ * @param voters number of voters with dynamic membership, or 0 if every configured host has a vote
  */
 public record ReplicaSettings(
         Duration electionTimeout,
@@ -21,14 +20,19 @@
         int maxEntriesPerMessage,
         int voters) {
 
-    /** Checks that heartbeats fit into a lease. */
+    /** Validates the settings; heartbeat and drift margin must fit into the election timeout. */
     public ReplicaSettings {
         Objects.requireNonNull(electionTimeout, "electionTimeout");
         Objects.requireNonNull(heartbeat, "heartbeat");
         Objects.requireNonNull(driftMargin, "driftMargin");
         if (heartbeat.plus(driftMargin).compareTo(electionTimeout) >= 0) {
             throw new IllegalArgumentException(
-                    "heartbeat " + heartbeat + " does not fit into " + electionTimeout);
+                    "heartbeat "
+                            + heartbeat
+                            + " plus drift margin "
+                            + driftMargin
+                            + " must be shorter than the election timeout "
+                            + electionTimeout);
         }
         if (maxEntriesPerMessage < 1) {
             throw new IllegalArgumentException(
@@ -39,13 +43,13 @@
         }
     }
 
-    /** Returns settings for hosts within a few milliseconds of each other. */
+    /** Returns settings for hosts with a network latency of a few milliseconds. */
     public static ReplicaSettings standard() {
         return new ReplicaSettings(
                 Duration.ofMillis(1000), Duration.ofMillis(150), Duration.ofMillis(100), 512, 0);
     }
 
-    /** Returns whether hosts that nobody has named may join the group. */
+    /** Returns whether hosts that are not in the settings may join the group. */
     boolean dynamicMembership() {
         return voters > 0;
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/ReplicaState.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/ReplicaState.java
@@ -7,10 +7,10 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 
-/** What the parts of one replica share: its durable state, its role, its timers and its effects. */
+/** State shared by the parts of one replica: log, hard state, role, timers and pending effects. */
 final class ReplicaState {
 
-    /** A vote takes some milliseconds, with two syncs of a disk. */
+    /** Longer than one vote, which takes some milliseconds including two disk syncs. */
     private static final long RESTART_ELECTION_STAGGER_NANOS = Duration.ofMillis(60).toNanos();
 
     private final ReplicaId self;
@@ -55,10 +55,11 @@
     }
 
     /**
-     * After a restart of all voters nobody leads, and none may vote before the leases that it may
-     * have granted have ended. The voters then stand in turn instead of at random: with random
-     * delays the first stood 0.08 to 0.5 s after it could have been elected (three days that end
-     * with a restart of all, from the logs).
+     * Schedules the first election after a restart. When all voters restart there is no leader, and
+     * no voter may vote before the leases that it may have granted have expired. The voters then
+     * start their elections one after another at fixed delays instead of random ones. With random
+     * delays the first election started 0.08 to 0.5 s later than possible, as the logs of three
+     * restarts of all voters show.
      */
     private void staggerElections(long now) {
         int position = log.membership().voters().indexOf(self);
@@ -122,7 +123,7 @@
         return log.membership();
     }
 
-    /** Returns whether this replica holds no entry of the group. */
+    /** Returns whether the log contains no entry, not even in a snapshot. */
     boolean emptyLog() {
         return log.lastIndex() == 0;
     }
@@ -162,7 +163,7 @@
         resetElectionDeadline(now);
     }
 
-    /** Returns whether a leader may still hold a lease that this replica has granted. */
+    /** Returns whether a lease that this replica granted to a leader may still be valid. */
     boolean withinGrantedLease(long now) {
         return now - lastLeaderContact < settings.electionTimeout().toNanos();
     }
@@ -180,7 +181,7 @@
         electionDeadline = now;
     }
 
-    /** Commits up to an index and hands the newly committed entries to the state machine. */
+    /** Commits up to an index and applies the newly committed entries to the state machine. */
     void commitUpTo(long index) {
         long target = Math.min(index, log.lastIndex());
         if (target <= commit) {
@@ -191,7 +192,7 @@
         emit(new ReplicaEffect.Apply(committed));
     }
 
-    /** Notes that all is applied that was committed when this replica began. */
+    /** Reports, once, that every entry committed before this replica started has been applied. */
     void caughtUp() {
         if (!caughtUp) {
             caughtUp = true;
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/Role.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/Role.java
@@ -1,13 +1,13 @@
 package io.stackhall.core.replication;
 
-/** The part that a replica plays in its group. */
+/** Role of a replica in its group. */
 public enum Role {
-    /** Follows a leader, or waits for one. */
+    /** Replicates the log of a leader, or waits for one to be elected. */
     FOLLOWER,
-    /** Asks whether it would be elected. */
+    /** Requests pre-votes to find out whether it would win an election. */
     PRE_CANDIDATE,
-    /** Stands for election. */
+    /** Requests votes in an election. */
     CANDIDATE,
-    /** Appends to the log on behalf of the group. */
+    /** Appends entries to the log and replicates them to the group. */
     LEADER
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/SavedState.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/SavedState.java
@@ -4,11 +4,11 @@
 import java.util.Objects;
 
 /**
- * What a replica's storage held when its process started.
+ * State that a replica loads from storage when its process starts.
  *
  * @param hardState the last saved hard state
  * @param snapshot the last saved snapshot
- * @param entries the entries behind it, without a gap
+ * @param entries the entries after the snapshot, without gaps
  */
 public record SavedState(HardState hardState, Snapshot snapshot, List<Entry> entries) {
 
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/Snapshot.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/Snapshot.java
@@ -3,16 +3,16 @@
 import java.util.Objects;
 
 /**
- * The state machine's state after an entry, in place of the log up to that entry.
+ * The state machine's state after an entry, which replaces the log up to that entry.
  *
- * @param lastIndex index of the last entry that it covers, 0 for none
+ * @param lastIndex index of the last entry covered, or 0 for none
  * @param lastTerm term of that entry
  * @param membership the membership in force at that entry
- * @param state the encoded state; neither side changes it afterwards
+ * @param state the encoded state; the array is shared and must not be modified
  */
 public record Snapshot(long lastIndex, long lastTerm, Membership membership, byte[] state) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public Snapshot {
         Objects.requireNonNull(membership, "membership");
         Objects.requireNonNull(state, "state");
--- a/stackhall-core/src/main/java/io/stackhall/core/replication/package-info.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/replication/package-info.java
@@ -1,8 +1,9 @@
 /**
- * A replicated log without I/O: election, leases, replication, snapshots and membership.
+ * A Raft implementation without I/O: elections, leader leases, log replication, snapshots and
+ * membership changes.
  *
  * <p>A {@link io.stackhall.core.replication.Replica} is a plain object that takes events and
- * returns effects. Whoever embeds it carries the effects out in order, on one thread. It owns no
- * socket, thread, file, clock or random source.
+ * returns effects. Its driver performs the effects in order on a single thread. The package uses no
+ * sockets, threads, files, clocks or random sources of its own.
  */
 package io.stackhall.core.replication;
--- a/stackhall-core/src/test/java/io/stackhall/core/replication/DynamicGroupTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/replication/DynamicGroupTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A group whose hosts come and go. */
+/** Tests of a group with dynamic membership, which hosts join and leave at run time. */
 class DynamicGroupTest {
 
     private static final long CONVERGENCE_MILLIS = 6000;
--- a/stackhall-core/src/test/java/io/stackhall/core/replication/ReplicaProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/replication/ReplicaProperties.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** What holds for any sequence of losses, duplicates, cuts, kills and restarts. */
+/** Properties that hold under message loss and duplication, partitions, kills and restarts. */
 class ReplicaProperties {
 
     private static final int STEPS = 120;
@@ -30,9 +30,10 @@
     }
 
     /**
-     * A host that starts anew and says that it has caught up holds all that was acknowledged before
-     * it started. Nothing is cut, and no message outlives its connection: a leader that does not
-     * know yet that it is none any more, or an old message, may be all that a host hears.
+     * A restarted host that reports that it has caught up holds every command acknowledged before
+     * it started. This run has no partitions, and messages in flight to a killed host are dropped:
+     * otherwise a host might only hear from a deposed leader that still believes it leads, or
+     * receive only old messages.
      */
     @Property(tries = 300, seed = "20261203")
     void caughtUpReplicaHoldsCommandsAcknowledgedBeforeItStarted(
@@ -102,7 +103,7 @@
         private void checkCaughtUp() {
             for (String name : names) {
                 assertThat(group.hosts.get(name).missingWhenCaughtUp)
-                        .as("what %s missed when it said to have caught up", name)
+                        .as("commands missing on %s when it reported to have caught up", name)
                         .isEmpty();
             }
         }
@@ -121,13 +122,15 @@
             group.run(2000);
             for (String name : names) {
                 List<String> applied = group.hosts.get(name).applied;
-                assertThat(applied.contains("last")).as("%s follows", name).isTrue();
+                assertThat(applied.contains("last"))
+                        .as("%s applied the last command", name)
+                        .isTrue();
                 assertThat(group.hosts.get(name).caughtUp).as("%s has caught up", name).isTrue();
                 assertThat(applied.containsAll(group.acknowledged))
-                        .as("%s holds all that was acknowledged", name)
+                        .as("%s holds all acknowledged commands", name)
                         .isTrue();
                 assertThat(applied.equals(group.hosts.get(leader).applied))
-                        .as("%s equals the leader", name)
+                        .as("%s has applied the same commands as the leader", name)
                         .isTrue();
             }
         }
@@ -141,7 +144,9 @@
             }
         }
 
-        /** A volatile host may only go when the others make a full group without it. */
+        /**
+         * A volatile host may only be killed while every host runs a voter and all is committed.
+         */
         private boolean allUpAndSettled() {
             return group.partitionedHosts.isEmpty()
                     && group.leader().isPresent()
--- a/stackhall-core/src/test/java/io/stackhall/core/replication/ReplicaTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/replication/ReplicaTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Behaviour of a group of replicas under single, chosen failures. */
+/** Tests of a group of replicas under specific single failures. */
 class ReplicaTest {
 
     private static final long SEED = 7;
@@ -187,7 +187,7 @@
         assertThat(follower.receive(9, request)).contains(new Message.VoteReply(true, false));
     }
 
-    /** One replica that is stepped by hand, as a follower of a leader on another host. */
+    /** A single replica that receives messages as a follower of a leader on another host. */
     private static final class Follower {
         private static final ReplicaId SELF = new ReplicaId("a", 1);
         private static final ReplicaId LEADER = new ReplicaId("b", 2);
@@ -209,7 +209,7 @@
                                 List.of()),
                         now);
 
-        /** Returns the bodies of what it sends. */
+        /** Passes in a message from the leader and returns the bodies of the replies. */
         private List<Message.Body> receive(long term, Message.Body body) {
             Message message = new Message(LEADER, SELF, FORMATION, term, body);
             List<Message.Body> sent = new ArrayList<>();
--- a/stackhall-core/src/test/java/io/stackhall/core/replication/RoutesAfterRestartProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/replication/RoutesAfterRestartProperties.java
@@ -12,11 +12,13 @@
 import net.jqwik.api.Property;
 
 /**
- * Entry hosts that start anew beside control hosts that start anew never obey, on a quorum's word,
- * what was replaced before they started, and obey the newest soon after the last restart.
+ * When entry hosts and control hosts restart, an entry host never puts a configuration into force
+ * as confirmed by a quorum that was replaced before the entry host started, and puts the newest one
+ * into force soon after the last restart.
  *
- * <p>Control hosts tell what they hold once they have caught up. One of them, its primary, tells an
- * entry host whole configurations, all tell their versions, and the leader names the newest.
+ * <p>Control hosts send updates once they have caught up. All of them send the version that they
+ * hold; only the primary of an entry host, and at times another control host, sends the whole
+ * configuration. The leader confirms the newest version.
  */
 class RoutesAfterRestartProperties {
 
@@ -27,7 +29,7 @@
     private static final long NONE = -1;
     private static final Duration CONFIRMATION_TIMEOUT = Duration.ofSeconds(4);
 
-    /** The time within which an acknowledged change has to be in force. */
+    /** The time within which an acknowledged change must be in force on every entry host. */
     private static final Duration APPLIED_WITHIN = Duration.ofSeconds(2);
 
     @Property(tries = 200, seed = "20261203")
@@ -39,7 +41,7 @@
         run.checkNewestInForceEverywhere();
     }
 
-    /** One entry host in one of its lives. */
+    /** One incarnation of an entry host. */
     private static final class EntryHost {
         private final RoutesTrust trust = new RoutesTrust(CONFIRMATION_TIMEOUT);
         private final long acknowledgedBefore;
@@ -98,7 +100,10 @@
             group.leader().ifPresent(host -> group.propose(host.name, Integer.toString(++version)));
         }
 
-        /** Cuts a control host off from the others, or heals that; entry hosts go on hearing it. */
+        /**
+         * Partitions a control host from the other control hosts, or heals the partition. Entry
+         * hosts receive its updates all the time.
+         */
         private void togglePartition() {
             if (group.partitionedHosts.isEmpty()) {
                 group.partitionedHosts.add(CONTROL[random.nextInt(CONTROL.length)]);
--- a/stackhall-core/src/test/java/io/stackhall/core/replication/SimulatedGroup.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/replication/SimulatedGroup.java
@@ -12,13 +12,13 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Replicas of one group that exchange messages through a list, under a clock of their own. */
+/** Simulation of one group of replicas with an in-memory network, faults and a simulated clock. */
 final class SimulatedGroup {
 
     static final long MILLI = Duration.ofMillis(1).toNanos();
     static final long TICK_MILLIS = 20;
 
-    /** One host: its saved state and, while it runs, its replica. */
+    /** A host with its saved state and, while it runs, its replica. */
     static final class Host {
         final String name;
         final boolean durable;
@@ -31,7 +31,8 @@
         Set<String> acknowledgedBefore = new TreeSet<>();
 
         /**
-         * What was acknowledged before it started and not applied when it said to have caught up.
+         * Commands that were acknowledged before the replica started but not applied when it
+         * reported that it had caught up.
          */
         final Set<String> missingWhenCaughtUp = new TreeSet<>();
 
@@ -77,7 +78,7 @@
         }
     }
 
-    /** Returns a group whose hosts come and go, founded by three durable hosts that are named. */
+    /** Returns a group with dynamic membership, formed by the given durable hosts. */
     static SimulatedGroup withDynamicMembership(long seed, String... founders) {
         ReplicaSettings settings =
                 new ReplicaSettings(
@@ -89,12 +90,12 @@
         return new SimulatedGroup(seed, true, settings, founders);
     }
 
-    /** Returns the time, in nanoseconds. */
+    /** Returns the simulated time, in nanoseconds. */
     long now() {
         return now;
     }
 
-    /** Starts a host that no setting names. */
+    /** Starts a host that is not in the settings. */
     void join(String name) {
         hosts.put(name, new Host(name, true));
         start(name);
@@ -129,7 +130,7 @@
         restore(host, host.saved.snapshot());
     }
 
-    /** Only the first start of a founder may found an open group. */
+    /** With dynamic membership, a founder may form the group only when it starts the first time. */
     private Set<String> configuredHosts(Host host) {
         if (!settings.dynamicMembership()) {
             return hosts.keySet();
@@ -144,7 +145,7 @@
         ticketByIndex.get(name).clear();
     }
 
-    /** Kills a host, and with it what is on its way to it on its connections. */
+    /** Kills a host and drops the messages in flight to it. */
     void killWithConnections(String name) {
         kill(name);
         network.removeIf(inFlight -> inFlight.to().equals(name));
--- a/stackhall-core/src/test/java/io/stackhall/core/replication/SnapshotPolicyTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/replication/SnapshotPolicyTest.java
@@ -5,13 +5,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each change of the configuration carries all of it. Snapshots were taken after 4,000 entries, by
- * when configurations of 40 kB are 160 MB: more than a control host's heap or disk holds, and all
- * of it was read and applied again at each start.
+ * Guards against a log that outgrows a control host. Each configuration change contains the whole
+ * configuration, and snapshots used to be taken only after 4,000 entries. With configurations of 40
+ * kB that is 160 MB: more than the heap or disk of a control host holds, and all of it was read and
+ * applied again at each start.
  */
 class SnapshotPolicyTest {
 
-    /** A control host of the smallest kind has this much disk for everything. */
+    /** Total disk space of the smallest kind of control host. */
     private static final long DISK_BYTES = 128L << 20;
 
     private final SnapshotPolicy policy = new SnapshotPolicy();
