--- a/stackhall-core/src/main/java/io/stackhall/core/config/ConfigRegister.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/config/ConfigRegister.java
@@ -22,10 +22,10 @@
 public final class ConfigRegister {
 
     /** How many first answers are kept for resends. */
-    public static final int REMEMBERED_CHANGES = 10_000;
+    public static final int MAX_RETAINED_ANSWERS = 10_000;
 
     /** How many lines of the audit trail are kept in the register. */
-    public static final int REMEMBERED_AUDIT = 10_000;
+    public static final int MAX_RETAINED_AUDIT_RECORDS = 10_000;
 
     private final Map<ChangeId, ChangeOutcome> answers = new LinkedHashMap<>();
     private final Deque<AuditRecord> audit = new ArrayDeque<>();
@@ -135,7 +135,7 @@
                         before,
                         outcome.revision(),
                         outcome.verdict()));
-        if (audit.size() > REMEMBERED_AUDIT) {
+        if (audit.size() > MAX_RETAINED_AUDIT_RECORDS) {
             audit.removeFirst();
         }
     }
@@ -155,7 +155,7 @@
     }
 
     private static void trim(Map<ChangeId, ChangeOutcome> answers) {
-        if (answers.size() > REMEMBERED_CHANGES) {
+        if (answers.size() > MAX_RETAINED_ANSWERS) {
             answers.remove(answers.keySet().iterator().next());
         }
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/config/DeploymentChecker.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/config/DeploymentChecker.java
@@ -25,8 +25,9 @@
         checker.checkModels(deployment);
         checker.checkAdapters(deployment);
         checker.checkCallers(deployment);
-        checker.unique("/services", deployment.services().stream().map(ServiceSpec::name).toList());
-        checker.checkStore(deployment.weightStore());
+        checker.checkUnique(
+                "/services", deployment.services().stream().map(ServiceSpec::name).toList());
+        checker.checkWeightStore(deployment.weightStore());
         return checker.findings.isEmpty()
                 ? Either.right(deployment)
                 : Either.left(List.copyOf(checker.findings));
@@ -36,19 +37,19 @@
         List<Id> names = new ArrayList<>();
         deployment.models().forEach(model -> names.add(model.id()));
         deployment.adapters().forEach(adapter -> names.add(adapter.id()));
-        unique("/models", names);
+        checkUnique("/models", names);
         if (names.size() > MAX_MODELS) {
-            find("/models", names.size() + " models and adapters, at most " + MAX_MODELS);
+            addFinding("/models", names.size() + " models and adapters, at most " + MAX_MODELS);
         }
-        for (int at = 0; at < deployment.models().size(); at++) {
-            ModelSpec model = deployment.models().get(at);
-            String place = "/models/" + at;
-            positive(place + "/memory_mib", model.memoryMib());
+        for (int index = 0; index < deployment.models().size(); index++) {
+            ModelSpec model = deployment.models().get(index);
+            String place = "/models/" + index;
+            checkPositive(place + "/memory_mib", model.memoryMib());
             if (model.floor() < 0) {
-                find(place + "/floor", model.floor() + " is negative");
+                addFinding(place + "/floor", model.floor() + " is negative");
             }
             if (model.version().isBlank()) {
-                find(place + "/version", "must not be blank");
+                addFinding(place + "/version", "must not be blank");
             }
         }
     }
@@ -56,50 +57,51 @@
     private void checkAdapters(Deployment deployment) {
         Set<ModelId> bases =
                 deployment.models().stream().map(ModelSpec::id).collect(Collectors.toSet());
-        for (int at = 0; at < deployment.adapters().size(); at++) {
-            AdapterSpec adapter = deployment.adapters().get(at);
-            String place = "/adapters/" + at;
-            positive(place + "/memory_mib", adapter.memoryMib());
+        for (int index = 0; index < deployment.adapters().size(); index++) {
+            AdapterSpec adapter = deployment.adapters().get(index);
+            String place = "/adapters/" + index;
+            checkPositive(place + "/memory_mib", adapter.memoryMib());
             if (!bases.contains(adapter.base())) {
-                find(place + "/base", "no model is named '" + adapter.base() + "'");
+                addFinding(place + "/base", "no model is named '" + adapter.base() + "'");
             }
         }
     }
 
     private void checkCallers(Deployment deployment) {
-        unique("/callers", deployment.callers().stream().map(CallerSpec::id).toList());
-        for (int at = 0; at < deployment.callers().size(); at++) {
-            String hash = deployment.callers().get(at).keyHash();
+        checkUnique("/callers", deployment.callers().stream().map(CallerSpec::id).toList());
+        for (int index = 0; index < deployment.callers().size(); index++) {
+            String hash = deployment.callers().get(index).keyHash();
             boolean hex = hash.chars().allMatch(digit -> "0123456789abcdef".indexOf(digit) >= 0);
             if (hash.length() != SHA_256_HEX_LENGTH || !hex) {
-                find("/callers/" + at + "/key_hash", "is not 64 hexadecimal digits");
+                addFinding("/callers/" + index + "/key_hash", "is not 64 hexadecimal digits");
             }
         }
     }
 
-    private void checkStore(WeightStoreSpec store) {
+    private void checkWeightStore(WeightStoreSpec store) {
         if (!(store.loadsPerSecond() > 0)) {
-            find("/weight_store/loads_per_second", store.loadsPerSecond() + " is not positive");
+            addFinding(
+                    "/weight_store/loads_per_second", store.loadsPerSecond() + " is not positive");
         }
-        positive("/weight_store/parallel_loads", store.parallelLoads());
+        checkPositive("/weight_store/parallel_loads", store.parallelLoads());
     }
 
-    private void unique(String place, List<? extends Id> names) {
+    private void checkUnique(String place, List<? extends Id> names) {
         Set<String> seen = new HashSet<>();
         for (Id name : names) {
             if (!seen.add(name.value())) {
-                find(place, "'" + name.value() + "' is named twice");
+                addFinding(place, "'" + name.value() + "' is named twice");
             }
         }
     }
 
-    private void positive(String place, long value) {
+    private void checkPositive(String place, long value) {
         if (value <= 0) {
-            find(place, value + " is not positive");
+            addFinding(place, value + " is not positive");
         }
     }
 
-    private void find(String place, String message) {
+    private void addFinding(String place, String message) {
         findings.add(new Finding(place, message));
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/fleet/InstanceTable.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/fleet/InstanceTable.java
@@ -111,7 +111,7 @@
         if (known != null) {
             return List.of(bury(known));
         }
-        if (id.bornMillis() == UpstreamId.UNTOLD) {
+        if (id.bornMillis() == UpstreamId.START_UNKNOWN) {
             Optional<Instance> life = named(id.value());
             if (life.isPresent()) {
                 return List.of(bury(life.get()));
@@ -223,7 +223,7 @@
     }
 
     private void noteLatest(UpstreamId id, long now) {
-        if (id.bornMillis() != UpstreamId.UNTOLD) {
+        if (id.bornMillis() != UpstreamId.START_UNKNOWN) {
             latest.put(id.value(), new Latest(id, now));
         }
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/id/AttemptToken.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/AttemptToken.java
@@ -9,7 +9,7 @@
 
     /** Checks the text. */
     public AttemptToken {
-        Names.require("attempt token", value);
+        IdText.require("attempt token", value);
     }
 
     @Override
--- a/stackhall-core/src/main/java/io/stackhall/core/id/ChangeId.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/ChangeId.java
@@ -9,7 +9,7 @@
 
     /** Checks the text. */
     public ChangeId {
-        Names.require("change id", value);
+        IdText.require("change id", value);
     }
 
     @Override
--- a/stackhall-core/src/main/java/io/stackhall/core/id/CustomerId.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/CustomerId.java
@@ -9,7 +9,7 @@
 
     /** Checks the text. */
     public CustomerId {
-        Names.require("customer", value);
+        IdText.require("customer", value);
     }
 
     @Override
--- a/stackhall-core/src/main/java/io/stackhall/core/id/HostId.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/HostId.java
@@ -9,7 +9,7 @@
 
     /** Checks the text. */
     public HostId {
-        Names.require("host", value);
+        IdText.require("host", value);
     }
 
     @Override
--- a/stackhall-core/src/main/java/io/stackhall/core/id/Id.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/Id.java
@@ -3,7 +3,7 @@
 /**
  * A name with a type. Every id is a short, printable, non-blank text.
  *
- * @see Names
+ * @see IdText
  */
 public interface Id {
 
--- a/stackhall-core/src/main/java/io/stackhall/core/id/Names.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/IdText.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /** Checks the texts of ids. */
-final class Names {
+final class IdText {
 
     private static final int MAX_LENGTH = 200;
 
-    private Names() {}
+    private IdText() {}
 
     /** Returns whether a text may be an id. */
     static boolean valid(String value) {
--- a/stackhall-core/src/main/java/io/stackhall/core/id/IdempotencyKey.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/IdempotencyKey.java
@@ -9,7 +9,7 @@
 
     /** Checks the text. */
     public IdempotencyKey {
-        Names.require("idempotency key", value);
+        IdText.require("idempotency key", value);
     }
 
     @Override
--- a/stackhall-core/src/main/java/io/stackhall/core/id/ModelId.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/ModelId.java
@@ -9,7 +9,7 @@
 
     /** Checks the text. */
     public ModelId {
-        Names.require("model", value);
+        IdText.require("model", value);
     }
 
     @Override
--- a/stackhall-core/src/main/java/io/stackhall/core/id/RequestId.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/RequestId.java
@@ -9,7 +9,7 @@
 
     /** Checks the text. */
     public RequestId {
-        Names.require("request id", value);
+        IdText.require("request id", value);
     }
 
     @Override
--- a/stackhall-core/src/main/java/io/stackhall/core/id/ServiceName.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/ServiceName.java
@@ -9,7 +9,7 @@
 
     /** Checks the text. */
     public ServiceName {
-        Names.require("service", value);
+        IdText.require("service", value);
     }
 
     @Override
--- a/stackhall-core/src/main/java/io/stackhall/core/id/UpstreamId.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/UpstreamId.java
@@ -11,21 +11,22 @@
  * under its name begins with nothing.
  *
  * @param value its name, which may outlive it
- * @param bornMillis when it says that it started, in Unix milliseconds, or {@link #UNTOLD}
+ * @param bornMillis when it says that it started, in Unix milliseconds, or {@link #START_UNKNOWN}
  */
 public record UpstreamId(String value, long bornMillis) implements Id {
 
     /** The start of an upstream that does not tell it: its name is then drawn at each start. */
-    public static final long UNTOLD = 0;
+    public static final long START_UNKNOWN = 0;
 
-    private static final char BORN_MARK = '@';
+    private static final char START_SEPARATOR = '@';
 
-    private static final Pattern WITH_START = Pattern.compile("(.+)" + BORN_MARK + "(\\d{1,18})");
+    private static final Pattern WITH_START =
+            Pattern.compile("(.+)" + START_SEPARATOR + "(\\d{1,18})");
 
     /** Checks the text and the start. */
     public UpstreamId {
-        Names.require("upstream", value);
-        if (bornMillis < UNTOLD) {
+        IdText.require("upstream", value);
+        if (bornMillis < START_UNKNOWN) {
             throw new IllegalArgumentException(
                     "start " + bornMillis + " of an upstream is negative");
         }
@@ -33,7 +34,7 @@
 
     /** Creates the id of an upstream that does not tell its start. */
     public UpstreamId(String value) {
-        this(value, UNTOLD);
+        this(value, START_UNKNOWN);
     }
 
     /** Reads what {@link #toString} has written. */
@@ -51,7 +52,7 @@
 
     @Override
     public String toString() {
-        boolean alone = bornMillis == UNTOLD && value.indexOf(BORN_MARK) < 0;
-        return alone ? value : value + BORN_MARK + bornMillis;
+        boolean nameOnly = bornMillis == START_UNKNOWN && value.indexOf(START_SEPARATOR) < 0;
+        return nameOnly ? value : value + START_SEPARATOR + bornMillis;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/id/WorkId.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/WorkId.java
@@ -9,7 +9,7 @@
 
     /** Checks the text. */
     public WorkId {
-        Names.require("work id", value);
+        IdText.require("work id", value);
     }
 
     @Override
--- a/stackhall-core/src/main/java/io/stackhall/core/id/ZoneId.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/ZoneId.java
@@ -11,12 +11,12 @@
 
     /** Checks the text. */
     public ZoneId {
-        Names.require("zone", value);
+        IdText.require("zone", value);
     }
 
     /** Returns the zone that a text names, if it may be a name. */
     public static Optional<ZoneId> parse(String text) {
-        return Names.valid(text) ? Optional.of(new ZoneId(text)) : Optional.empty();
+        return IdText.valid(text) ? Optional.of(new ZoneId(text)) : Optional.empty();
     }
 
     @Override
--- a/stackhall-core/src/main/java/io/stackhall/core/membership/Neighbours.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/membership/Neighbours.java
@@ -23,7 +23,7 @@
 public final class Neighbours {
 
     /** How many hosts of each other zone a host hears. */
-    public static final int HEARD_PER_ZONE = 2;
+    public static final int NEIGHBOURS_PER_ZONE = 2;
 
     private static final String PREFIX = "host/";
     private static final String ANY_VERSION = "";
@@ -31,7 +31,7 @@
     private Neighbours() {}
 
     /** Returns the name under which a host is an upstream to other zones. */
-    public static UpstreamId idOf(HostId host) {
+    public static UpstreamId upstreamIdOf(HostId host) {
         return new UpstreamId(PREFIX + host);
     }
 
@@ -46,12 +46,12 @@
      * @param rank the place of the host among those of its own zone
      * @param others the hosts of the other zone, in the same order everywhere
      */
-    public static Set<HostId> heardBy(int rank, List<HostId> others) {
-        Set<HostId> heard = new LinkedHashSet<>();
-        for (int at = 0; at < Math.min(HEARD_PER_ZONE, others.size()); at++) {
-            heard.add(others.get((rank + at) % others.size()));
+    public static Set<HostId> neighboursOf(int rank, List<HostId> others) {
+        Set<HostId> neighbours = new LinkedHashSet<>();
+        for (int offset = 0; offset < Math.min(NEIGHBOURS_PER_ZONE, others.size()); offset++) {
+            neighbours.add(others.get((rank + offset) % others.size()));
         }
-        return heard;
+        return neighbours;
     }
 
     /**
@@ -63,7 +63,8 @@
      * @param process rises or changes with each start of its process
      * @param sequence rises with each announcement of a process
      */
-    public record Speaker(HostId host, ZoneId zone, String address, long process, long sequence) {}
+    public record AnnouncingHost(
+            HostId host, ZoneId zone, String address, long process, long sequence) {}
 
     /**
      * Returns what a host says of its zone. A zone that has nothing to offer yet says just that; it
@@ -73,35 +74,37 @@
      * @param draining which of them take no new work
      * @param stopping whether the host itself takes no new work
      */
-    public static Announcement announcement(
-            Speaker speaker,
+    public static Announcement zoneAnnouncement(
+            AnnouncingHost announcer,
             Collection<Announcement> upstreams,
             Predicate<UpstreamId> draining,
             boolean stopping) {
         List<Announcement> open =
-                upstreams.stream().filter(of -> !of.leaving() && !draining.test(of.id())).toList();
+                upstreams.stream()
+                        .filter(upstream -> !upstream.leaving() && !draining.test(upstream.id()))
+                        .toList();
         Set<ServiceName> services = new LinkedHashSet<>();
         Set<ModelId> models = new LinkedHashSet<>();
         int accelerators = 0;
         int slots = 0;
         int running = 0;
         int queued = 0;
-        for (Announcement of : open) {
-            services.addAll(of.services());
-            of.memory().resident().forEach(held -> models.add(held.artifact().id()));
-            accelerators += of.engine() ? Math.max(1, of.memory().accelerators()) : 0;
-            slots += of.load().slots();
-            running += of.load().running();
-            queued += of.load().queued();
+        for (Announcement upstream : open) {
+            services.addAll(upstream.services());
+            upstream.memory().resident().forEach(resident -> models.add(resident.artifact().id()));
+            accelerators += upstream.engine() ? Math.max(1, upstream.memory().accelerators()) : 0;
+            slots += upstream.load().slots();
+            running += upstream.load().running();
+            queued += upstream.load().queued();
         }
         return new Announcement(
-                idOf(speaker.host()),
-                speaker.zone(),
-                speaker.address(),
-                speaker.process(),
-                speaker.sequence(),
+                upstreamIdOf(announcer.host()),
+                announcer.zone(),
+                announcer.address(),
+                announcer.process(),
+                announcer.sequence(),
                 List.copyOf(services),
-                new Announcement.Memory(accelerators, 0, 0, residents(models)),
+                new Announcement.Memory(accelerators, 0, 0, residentsWithoutVersion(models)),
                 new Announcement.Load(Math.max(1, slots), running, queued),
                 new Announcement.Fencing(false, 0),
                 stopping,
@@ -109,7 +112,7 @@
     }
 
     /** Returns models as resident without a version: that is the other zone's own matter. */
-    public static List<Resident> residents(Collection<ModelId> models) {
+    public static List<Resident> residentsWithoutVersion(Collection<ModelId> models) {
         return models.stream()
                 .map(model -> new Resident(new Artifact(model, ANY_VERSION), 0))
                 .toList();
--- a/stackhall-core/src/main/java/io/stackhall/core/membership/UpstreamTable.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/membership/UpstreamTable.java
@@ -22,7 +22,7 @@
     /** The most upstreams that are kept; what comes beyond is refused. */
     public static final int MAX_UPSTREAMS = 4096;
 
-    private final Map<String, Heard> heard = new TreeMap<>();
+    private final Map<String, ReceivedAnnouncement> latest = new TreeMap<>();
     private final long silenceNanos;
 
     /** Creates an empty table that drops an upstream after so long a silence. */
@@ -30,7 +30,7 @@
         this.silenceNanos = silence.toNanos();
     }
 
-    private record Heard(Announcement announcement, long at) {}
+    private record ReceivedAnnouncement(Announcement announcement, long receivedAt) {}
 
     /**
      * Takes an announcement.
@@ -38,8 +38,8 @@
      * @return the announcement as it is kept now, or nothing if a later one is known already
      */
     public Optional<Announcement> offer(Announcement announcement, long now) {
-        Heard known = heard.get(announcement.id().value());
-        if (known == null && heard.size() >= MAX_UPSTREAMS) {
+        ReceivedAnnouncement known = latest.get(announcement.id().value());
+        if (known == null && latest.size() >= MAX_UPSTREAMS) {
             return Optional.empty();
         }
         if (known != null && !announcement.newerThan(known.announcement())) {
@@ -51,17 +51,17 @@
                 && known.announcement().incarnation() == announcement.incarnation()) {
             kept = announcement.asLeaving();
         }
-        heard.put(announcement.id().value(), new Heard(kept, now));
+        latest.put(announcement.id().value(), new ReceivedAnnouncement(kept, now));
         return Optional.of(kept);
     }
 
     /** Drops the upstreams that have been silent for too long and returns them. */
     public List<UpstreamId> expire(long now) {
         List<UpstreamId> dropped = new ArrayList<>();
-        Iterator<Heard> each = heard.values().iterator();
+        Iterator<ReceivedAnnouncement> each = latest.values().iterator();
         while (each.hasNext()) {
-            Heard item = each.next();
-            if (now - item.at() > silenceNanos) {
+            ReceivedAnnouncement item = each.next();
+            if (now - item.receivedAt() > silenceNanos) {
                 dropped.add(item.announcement().id());
                 each.remove();
             }
@@ -71,11 +71,11 @@
 
     /** Returns the latest announcement of an upstream. */
     public Optional<Announcement> find(UpstreamId id) {
-        return Optional.ofNullable(heard.get(id.value())).map(Heard::announcement);
+        return Optional.ofNullable(latest.get(id.value())).map(ReceivedAnnouncement::announcement);
     }
 
     /** Returns the latest announcements, in order of the upstreams' names. */
     public Collection<Announcement> all() {
-        return heard.values().stream().map(Heard::announcement).toList();
+        return latest.values().stream().map(ReceivedAnnouncement::announcement).toList();
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineReport.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineReport.java
@@ -21,6 +21,6 @@
 
     /** Returns whether another life of the engine gave this account. */
     boolean ofAnotherLife(UpstreamId id) {
-        return bornMillis != id.bornMillis() && bornMillis != UpstreamId.UNTOLD;
+        return bornMillis != id.bornMillis() && bornMillis != UpstreamId.START_UNKNOWN;
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/config/ConfigRegisterTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/config/ConfigRegisterTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void resendGetsTheFirstAnswerAlsoFromARestoredRegister() {
+    void resentChangeGetsFirstAnswerAlsoAfterRestore() {
         ChangeOutcome first = replace("a", 0, 100);
         replace("b", 1, 200);
         assertThat(replace("a", 0, 100)).isEqualTo(first);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void everythingWrongIsFoundAtOnceAndNothingChanges() {
+    void invalidDeploymentIsRejectedWithAllFindings() {
         Deployment wrong =
                 new Deployment(
                         List.of(model("m", 0), model("m", 5)),
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void drainMarksCommuteAndASecondOneChangesNothing() {
+    void drainNeedsNoRevisionAndIsIdempotent() {
         assertThat(drain("a", "u", true).revision()).isEqualTo(1);
         assertThat(drain("b", "u", true).revision()).isEqualTo(1);
         assertThat(drain("c", "u", false).revision()).isEqualTo(2);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void auditNamesWhoAskedForWhatAndWhatBecameOfIt() {
+    void auditRecordsEveryChangeWithItsOutcome() {
         replace("a", 0, 100);
         replace("b", 0, 200);
         assertThat(register.audit())
--- a/stackhall-core/src/test/java/io/stackhall/core/id/UpstreamIdTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/id/UpstreamIdTest.java
@@ -15,8 +15,7 @@
 class UpstreamIdTest {
 
     @Property
-    void whatIsWrittenIsRead(
-            @ForAll("names") String name, @ForAll @LongRange(min = 0) long bornMillis) {
+    void textRoundTrips(@ForAll("names") String name, @ForAll @LongRange(min = 0) long bornMillis) {
         UpstreamId id = new UpstreamId(name, bornMillis % 1_000_000_000_000_000L);
         assertThat(UpstreamId.parse(id.toString())).isEqualTo(id);
     }
@@ -33,7 +32,7 @@
     }
 
     @Test
-    void laterLifeOfANameStartedAfterTheEarlier() {
+    void startedAfterComparesIncarnationsOfOneName() {
         UpstreamId earlier = new UpstreamId("i-1", 5);
         assertThat(new UpstreamId("i-1", 6).startedAfter(earlier)).isTrue();
         assertThat(earlier.startedAfter(earlier)).isFalse();
@@ -41,7 +40,7 @@
     }
 
     @Test
-    void negativeStartIsNamed() {
+    void negativeStartIsRejected() {
         assertThatThrownBy(() -> new UpstreamId("i-1", -3)).hasMessageContaining("-3");
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/node/NeighbourExchange.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/NeighbourExchange.java
@@ -59,8 +59,8 @@
     /** Tells the other zones; to be called regularly. */
     void tell() {
         Announcement said =
-                Neighbours.announcement(
-                        new Neighbours.Speaker(
+                Neighbours.zoneAnnouncement(
+                        new Neighbours.AnnouncingHost(
                                 settings.host(),
                                 settings.zone(),
                                 settings.callers().toString(),
@@ -105,7 +105,7 @@
         for (ZoneId zone : settings.zones()) {
             List<HostId> there = ranked(settings, zone);
             for (int rank = 0; rank < there.size() && !zone.equals(settings.zone()); rank++) {
-                if (Neighbours.heardBy(rank, own).contains(settings.host())) {
+                if (Neighbours.neighboursOf(rank, own).contains(settings.host())) {
                     listeners.add(there.get(rank));
                 }
             }
@@ -138,7 +138,7 @@
 
     private static Announcement decode(NeighbourReport report) {
         return new Announcement(
-                Neighbours.idOf(new HostId(report.getHost())),
+                Neighbours.upstreamIdOf(new HostId(report.getHost())),
                 new ZoneId(report.getZone()),
                 report.getAddress(),
                 report.getProcess(),
@@ -148,7 +148,7 @@
                         report.getAccelerators(),
                         0,
                         0,
-                        Neighbours.residents(
+                        Neighbours.residentsWithoutVersion(
                                 report.getModelsList().stream().map(ModelId::new).toList())),
                 new Announcement.Load(report.getSlots(), report.getRunning(), report.getQueued()),
                 new Announcement.Fencing(false, 0),
