--- a/stackhall-core/src/main/java/io/stackhall/core/membership/Announcement.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/membership/Announcement.java
@@ -9,20 +9,21 @@
 import java.util.Optional;
 
 /**
- * What an upstream says of itself. It is sent on every change and at a steady interval, may come
- * late, and may be missing.
+ * State that an upstream announces about itself, on every change and at a regular interval.
+ * Announcements may be delayed or lost.
  *
- * @param id who says it
+ * @param id the upstream
  * @param zone its availability zone
- * @param address where it takes requests and orders, as {@code host:port}
- * @param incarnation rises with each start of the upstream
- * @param sequence rises with each announcement of an incarnation
+ * @param address where it accepts requests and placement orders, as {@code host:port}
+ * @param incarnation increases with each start of the upstream
+ * @param sequence increases with each announcement of an incarnation
  * @param services the plain services that it runs; empty for a model engine
- * @param memory its accelerators and what is in them
- * @param load how busy it was when it spoke
- * @param fencing what it knows of the orders given to it
- * @param leaving whether it wants no new work
- * @param cachedPrefixes digests of prompt prefixes in its cache, possibly late and with gaps
+ * @param memory its accelerators and the models loaded in them
+ * @param load its load when it sent the announcement
+ * @param fencing its state for fencing placement orders
+ * @param leaving whether it should get no new work
+ * @param cachedPrefixes digests of the prompt prefixes in its cache, possibly outdated and
+ *     incomplete
  */
 public record Announcement(
         UpstreamId id,
@@ -37,7 +38,7 @@
         boolean leaving,
         List<Long> cachedPrefixes) {
 
-    /** Copies the lists and checks the parts. */
+    /** Copies the lists and validates the components. */
     public Announcement {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(zone, "zone");
@@ -53,9 +54,9 @@
      * The accelerator memory of an upstream.
      *
      * @param accelerators how many accelerators it drives
-     * @param capacityMib what they hold together, in MiB
-     * @param reservedMib what is kept free for KV cache, in MiB
-     * @param resident what is loaded
+     * @param capacityMib total memory of the accelerators, in MiB
+     * @param reservedMib memory reserved for the KV cache, in MiB
+     * @param resident the loaded models and adapters
      */
     public record Memory(
             int accelerators, long capacityMib, long reservedMib, List<Resident> resident) {
@@ -76,11 +77,11 @@
     }
 
     /**
-     * How busy an upstream is.
+     * The load of an upstream.
      *
-     * @param slots requests that it runs at once
-     * @param running requests that run
-     * @param queued requests that wait in it
+     * @param slots number of requests that it can run concurrently, at least 1
+     * @param running number of requests that are running
+     * @param queued number of requests in its queue
      */
     public record Load(int slots, int running, int queued) {
         /** Checks the counts. */
@@ -99,19 +100,19 @@
     }
 
     /**
-     * What an upstream knows of the orders given to it.
+     * An upstream's state for fencing placement orders.
      *
-     * @param checked whether it refuses an order with an old fencing number
-     * @param highest the highest fencing number seen
+     * @param checked whether it refuses an order with an outdated fencing token
+     * @param highest the highest fencing token seen
      */
     public record Fencing(boolean checked, long highest) {}
 
-    /** Returns whether this is a model engine rather than a plain service. */
+    /** Returns whether the upstream is a model engine rather than a plain service. */
     public boolean engine() {
         return services.isEmpty();
     }
 
-    /** Returns whether this is later than another announcement of the same upstream. */
+    /** Returns whether this announcement is newer than another one of the same upstream. */
     public boolean newerThan(Announcement other) {
         if (incarnation != other.incarnation) {
             return incarnation > other.incarnation;
@@ -119,7 +120,7 @@
         return sequence > other.sequence;
     }
 
-    /** Returns the resident artifact of that name, the given version first, or any version. */
+    /** Returns a resident artifact of a model, preferring the given version over any other. */
     public Optional<Artifact> residentOf(ModelId model, String version) {
         Optional<Artifact> any = Optional.empty();
         for (Resident resident : memory.resident()) {
@@ -134,7 +135,7 @@
         return any;
     }
 
-    /** Returns this announcement with the upstream leaving. */
+    /** Returns this announcement with the upstream marked as leaving. */
     public Announcement asLeaving() {
         return new Announcement(
                 id,
--- a/stackhall-core/src/main/java/io/stackhall/core/membership/Artifact.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/membership/Artifact.java
@@ -11,7 +11,7 @@
  */
 public record Artifact(ModelId id, String version) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public Artifact {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(version, "version");
--- a/stackhall-core/src/main/java/io/stackhall/core/membership/Neighbours.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/membership/Neighbours.java
@@ -12,17 +12,18 @@
 import java.util.function.Predicate;
 
 /**
- * How the hosts of different zones know each other: each announces to a few hosts of every other
- * zone, as if it were an upstream, what its own zone can serve.
+ * Announcements between hosts of different availability zones. A neighbour of a host is a host in
+ * another zone from which it receives announcements. Each host announces to a few hosts of every
+ * other zone, as if it were an upstream, what its own zone can serve.
  *
- * <p>So no host hears the upstreams of other zones, and a request that is passed on is admitted by
- * a host of the zone that runs it.
+ * <p>Hosts therefore do not receive announcements of upstreams in other zones, and a request that
+ * is forwarded to another zone is admitted by a host of that zone.
  *
  * @see io.stackhall.core.routing.Router
  */
 public final class Neighbours {
 
-    /** How many hosts of each other zone a host hears. */
+    /** Number of hosts in each other zone from which a host receives announcements. */
     public static final int NEIGHBOURS_PER_ZONE = 2;
 
     private static final String PREFIX = "host/";
@@ -30,21 +31,21 @@
 
     private Neighbours() {}
 
-    /** Returns the name under which a host is an upstream to other zones. */
+    /** Returns the id under which other zones treat a host as an upstream. */
     public static UpstreamId upstreamIdOf(HostId host) {
         return new UpstreamId(PREFIX + host);
     }
 
-    /** Returns whether a name is one of those; no upstream may take such a name. */
+    /** Returns whether an id belongs to a neighbour; real upstreams must not use such names. */
     public static boolean isNeighbour(UpstreamId upstream) {
         return upstream.value().startsWith(PREFIX);
     }
 
     /**
-     * Returns which hosts of another zone a host hears.
+     * Returns the hosts of another zone from which a host receives announcements.
      *
-     * @param rank the place of the host among those of its own zone
-     * @param others the hosts of the other zone, in the same order everywhere
+     * @param rank position of the host among the hosts of its own zone, starting at 0
+     * @param others the hosts of the other zone, in an order that is the same on every host
      */
     public static Set<HostId> neighboursOf(int rank, List<HostId> others) {
         Set<HostId> neighbours = new LinkedHashSet<>();
@@ -55,24 +56,26 @@
     }
 
     /**
-     * Who speaks for a zone.
+     * A host that announces its zone to other zones.
      *
      * @param host the host
      * @param zone its zone
-     * @param address where it takes callers' requests, as {@code host:port}
-     * @param process rises or changes with each start of its process
-     * @param sequence rises with each announcement of a process
+     * @param address where it accepts requests of callers, as {@code host:port}
+     * @param process number of its process, which changes with each start and normally increases
+     * @param sequence increases with each announcement of a process
      */
     public record AnnouncingHost(
             HostId host, ZoneId zone, String address, long process, long sequence) {}
 
     /**
-     * Returns what a host says of its zone. A zone that has nothing to offer yet says just that; it
-     * is not leaving, which is never taken back.
+     * Returns the announcement of a host for its zone, which sums up the upstreams that accept
+     * work. A zone that can serve nothing yet is announced as empty and not as leaving, since
+     * leaving is final for an incarnation.
      *
+     * @param announcer the announcing host
      * @param upstreams the latest announcements of the zone's upstreams
-     * @param draining which of them take no new work
-     * @param stopping whether the host itself takes no new work
+     * @param draining tests whether an operator is draining an upstream
+     * @param stopping whether the host itself accepts no new work
      */
     public static Announcement zoneAnnouncement(
             AnnouncingHost announcer,
@@ -111,7 +114,7 @@
                 List.of());
     }
 
-    /** Returns models as resident without a version: that is the other zone's own matter. */
+    /** Returns models as resident without a version, which only the zone that runs them needs. */
     public static List<Resident> residentsWithoutVersion(Collection<ModelId> models) {
         return models.stream()
                 .map(model -> new Resident(new Artifact(model, ANY_VERSION), 0))
--- a/stackhall-core/src/main/java/io/stackhall/core/membership/Resident.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/membership/Resident.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * An artifact in an upstream's accelerator memory.
+ * An artifact that is loaded in the accelerator memory of an upstream.
  *
- * @param artifact what is resident
- * @param memoryMib what it takes, in MiB
+ * @param artifact the model or adapter
+ * @param memoryMib memory that it uses, in MiB
  */
 public record Resident(Artifact artifact, long memoryMib) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public Resident {
         Objects.requireNonNull(artifact, "artifact");
         if (memoryMib < 0) {
--- a/stackhall-core/src/main/java/io/stackhall/core/membership/UpstreamTable.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/membership/UpstreamTable.java
@@ -13,19 +13,23 @@
 /**
  * The latest announcement of each upstream of a zone.
  *
- * <p>Announcements may come in any order and by several ways; only a later one replaces another.
- * Leaving is never taken back within one incarnation. An upstream that has been silent for too long
- * is dropped.
+ * <p>Announcements may arrive out of order and over several paths; only a newer one replaces the
+ * current one. Once an upstream is leaving, it stays so for the rest of the incarnation. An
+ * upstream that has been silent for too long is removed.
  */
 public final class UpstreamTable {
 
-    /** The most upstreams that are kept; what comes beyond is refused. */
+    /** Maximum number of upstreams; announcements of further upstreams are ignored. */
     public static final int MAX_UPSTREAMS = 4096;
 
     private final Map<String, ReceivedAnnouncement> latest = new TreeMap<>();
     private final long silenceNanos;
 
-    /** Creates an empty table that drops an upstream after so long a silence. */
+    /**
+     * Creates an empty table.
+     *
+     * @param silence time without an announcement after which an upstream is removed
+     */
     public UpstreamTable(Duration silence) {
         this.silenceNanos = silence.toNanos();
     }
@@ -33,9 +37,11 @@
     private record ReceivedAnnouncement(Announcement announcement, long receivedAt) {}
 
     /**
-     * Takes an announcement.
+     * Adds an announcement if it is newer than the current one of the same upstream.
      *
-     * @return the announcement as it is kept now, or nothing if a later one is known already
+     * @param announcement the announcement
+     * @param now the monotonic clock, in nanoseconds
+     * @return the announcement as stored, or empty if it is not newer or the table is full
      */
     public Optional<Announcement> offer(Announcement announcement, long now) {
         ReceivedAnnouncement known = latest.get(announcement.id().value());
@@ -55,7 +61,12 @@
         return Optional.of(kept);
     }
 
-    /** Drops the upstreams that have been silent for too long and returns them. */
+    /**
+     * Removes the upstreams that have been silent for too long.
+     *
+     * @param now the monotonic clock, in nanoseconds
+     * @return the removed upstreams
+     */
     public List<UpstreamId> expire(long now) {
         List<UpstreamId> dropped = new ArrayList<>();
         Iterator<ReceivedAnnouncement> each = latest.values().iterator();
@@ -74,7 +85,7 @@
         return Optional.ofNullable(latest.get(id.value())).map(ReceivedAnnouncement::announcement);
     }
 
-    /** Returns the latest announcements, in order of the upstreams' names. */
+    /** Returns the latest announcements, sorted by upstream name. */
     public Collection<Announcement> all() {
         return latest.values().stream().map(ReceivedAnnouncement::announcement).toList();
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/membership/package-info.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Which upstreams there are, by their own announcements. */
+/** Announcements of upstreams, and the table of known upstreams built from them. */
 package io.stackhall.core.membership;
--- a/stackhall-core/src/test/java/io/stackhall/core/membership/NeighboursTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/membership/NeighboursTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a host says of its zone, and which hosts hear it. */
+/** Tests of the announcement of a zone and of the choice of hosts that receive it. */
 class NeighboursTest {
 
     private static final Neighbours.AnnouncingHost ANNOUNCING_HOST =
--- a/stackhall-core/src/test/java/io/stackhall/core/membership/package-info.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of what is known of upstreams and of other zones. */
+/** Tests of the announcements of upstreams and of other zones. */
 package io.stackhall.core.membership;
