--- a/stackhall-core/src/main/java/io/stackhall/core/id/AttemptToken.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/AttemptToken.java
@@ -1,13 +1,13 @@
 package io.stackhall.core.id;
 
 /**
- * Names one attempt to run a request; whoever holds it may run it.
+ * Identifies one attempt to run a request and authorizes its holder to run it.
  *
  * @param value the text
  */
 public record AttemptToken(String value) implements Id {
 
-    /** Checks the text. */
+    /** Validates the text. */
     public AttemptToken {
         IdText.require("attempt token", value);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/id/ChangeId.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/ChangeId.java
@@ -1,13 +1,13 @@
 package io.stackhall.core.id;
 
 /**
- * Names one change of the configuration, so that a resend is recognised.
+ * Identifies one change of the configuration, so that a resent change is recognized.
  *
  * @param value the text
  */
 public record ChangeId(String value) implements Id {
 
-    /** Checks the text. */
+    /** Validates the text. */
     public ChangeId {
         IdText.require("change id", value);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/id/CustomerId.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/CustomerId.java
@@ -1,13 +1,13 @@
 package io.stackhall.core.id;
 
 /**
- * Names a customer: whoever holds keys to send requests with.
+ * Identifies a customer, the holder of the API keys that authenticate requests.
  *
  * @param value the text
  */
 public record CustomerId(String value) implements Id {
 
-    /** Checks the text. */
+    /** Validates the text. */
     public CustomerId {
         IdText.require("customer", value);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/id/HostId.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/HostId.java
@@ -1,13 +1,13 @@
 package io.stackhall.core.id;
 
 /**
- * Names an entry host.
+ * Identifies an entry host.
  *
  * @param value the text
  */
 public record HostId(String value) implements Id {
 
-    /** Checks the text. */
+    /** Validates the text. */
     public HostId {
         IdText.require("host", value);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/id/Id.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/Id.java
@@ -1,7 +1,7 @@
 package io.stackhall.core.id;
 
 /**
- * A name with a type. Every id is a short, printable, non-blank text.
+ * A typed identifier: a non-blank text of at most 200 characters, without control characters.
  *
  * @see IdText
  */
--- a/stackhall-core/src/main/java/io/stackhall/core/id/IdText.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/IdText.java
@@ -2,21 +2,27 @@
 
 import java.util.Objects;
 
-/** Checks the texts of ids. */
+/** Validates the texts of ids. */
 final class IdText {
 
     private static final int MAX_LENGTH = 200;
 
     private IdText() {}
 
-    /** Returns whether a text may be an id. */
+    /** Returns whether a text is a valid id. */
     static boolean valid(String value) {
         return !value.isBlank()
                 && value.length() <= MAX_LENGTH
                 && value.chars().noneMatch(Character::isISOControl);
     }
 
-    /** Returns the text, or throws with the offending value. */
+    /**
+     * Returns the text if it is a valid id.
+     *
+     * @param kind what the id identifies, for the error message
+     * @param value the text
+     * @throws IllegalArgumentException if the text is not valid; the message contains it
+     */
     static String require(String kind, String value) {
         Objects.requireNonNull(value, kind);
         if (value.isBlank() || value.length() > MAX_LENGTH) {
--- a/stackhall-core/src/main/java/io/stackhall/core/id/IdempotencyKey.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/IdempotencyKey.java
@@ -1,13 +1,13 @@
 package io.stackhall.core.id;
 
 /**
- * Names a request that must not run twice, as its caller chose it.
+ * Identifies a request that must not run twice. The caller chooses the key.
  *
  * @param value the text
  */
 public record IdempotencyKey(String value) implements Id {
 
-    /** Checks the text. */
+    /** Validates the text. */
     public IdempotencyKey {
         IdText.require("idempotency key", value);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/id/ModelId.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/ModelId.java
@@ -1,13 +1,13 @@
 package io.stackhall.core.id;
 
 /**
- * Names a model or an adapter, as callers name it.
+ * Identifies a model or an adapter by the name that callers use.
  *
  * @param value the text
  */
 public record ModelId(String value) implements Id {
 
-    /** Checks the text. */
+    /** Validates the text. */
     public ModelId {
         IdText.require("model", value);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/id/RequestId.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/RequestId.java
@@ -1,13 +1,13 @@
 package io.stackhall.core.id;
 
 /**
- * Names one request of a caller.
+ * Identifies one request of a caller.
  *
  * @param value the text
  */
 public record RequestId(String value) implements Id {
 
-    /** Checks the text. */
+    /** Validates the text. */
     public RequestId {
         IdText.require("request id", value);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/id/ServiceName.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/ServiceName.java
@@ -1,13 +1,13 @@
 package io.stackhall.core.id;
 
 /**
- * Names a plain service.
+ * Identifies a plain service, an upstream that is not a model engine.
  *
  * @param value the text
  */
 public record ServiceName(String value) implements Id {
 
-    /** Checks the text. */
+    /** Validates the text. */
     public ServiceName {
         IdText.require("service", value);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/id/UpstreamId.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/UpstreamId.java
@@ -4,18 +4,20 @@
 import java.util.regex.Pattern;
 
 /**
- * Names one life of an upstream: one model engine or one plain service process, from its start to
- * its end.
+ * Identifies one incarnation of an upstream: one process of a model engine or a plain service.
  *
- * <p>Whatever is believed of a life is kept under this id, so that an upstream that starts again
- * under its name begins with nothing.
+ * <p>All state about an upstream is kept under this id, so that an upstream that restarts under the
+ * same name begins with empty state.
  *
- * @param value its name, which may outlive it
- * @param bornMillis when it says that it started, in Unix milliseconds, or {@link #START_UNKNOWN}
+ * @param value name of the upstream, which several incarnations may share
+ * @param bornMillis start time that the upstream reports, in Unix milliseconds, or {@link
+ *     #START_UNKNOWN}
  */
 public record UpstreamId(String value, long bornMillis) implements Id {
 
-    /** The start of an upstream that does not tell it: its name is then drawn at each start. */
+    /**
+     * Start time of an upstream that does not report it; such an upstream has a new name per start.
+     */
     public static final long START_UNKNOWN = 0;
 
     private static final char START_SEPARATOR = '@';
@@ -23,7 +25,7 @@
     private static final Pattern WITH_START =
             Pattern.compile("(.+)" + START_SEPARATOR + "(\\d{1,18})");
 
-    /** Checks the text and the start. */
+    /** Validates the name and the start time. */
     public UpstreamId {
         IdText.require("upstream", value);
         if (bornMillis < START_UNKNOWN) {
@@ -32,12 +34,12 @@
         }
     }
 
-    /** Creates the id of an upstream that does not tell its start. */
+    /** Creates the id of an upstream that does not report its start time. */
     public UpstreamId(String value) {
         this(value, START_UNKNOWN);
     }
 
-    /** Reads what {@link #toString} has written. */
+    /** Parses the text returned by {@link #toString}. */
     public static UpstreamId parse(String text) {
         Matcher matcher = WITH_START.matcher(text);
         return matcher.matches()
@@ -45,7 +47,10 @@
                 : new UpstreamId(text);
     }
 
-    /** Returns whether this is a later life than another of the same name, by their own word. */
+    /**
+     * Returns whether this is a later incarnation of the same upstream, according to the start
+     * times that both report.
+     */
     public boolean startedAfter(UpstreamId other) {
         return value.equals(other.value) && bornMillis > other.bornMillis;
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/id/WorkId.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/WorkId.java
@@ -1,13 +1,13 @@
 package io.stackhall.core.id;
 
 /**
- * Names one accepted piece of deferred work.
+ * Identifies one accepted item of deferred work.
  *
  * @param value the text
  */
 public record WorkId(String value) implements Id {
 
-    /** Checks the text. */
+    /** Validates the text. */
     public WorkId {
         IdText.require("work id", value);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/id/ZoneId.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/ZoneId.java
@@ -3,18 +3,18 @@
 import java.util.Optional;
 
 /**
- * Names an availability zone.
+ * Identifies an availability zone.
  *
  * @param value the text
  */
 public record ZoneId(String value) implements Id {
 
-    /** Checks the text. */
+    /** Validates the text. */
     public ZoneId {
         IdText.require("zone", value);
     }
 
-    /** Returns the zone that a text names, if it may be a name. */
+    /** Returns the id with the given text, or empty if the text is not a valid id. */
     public static Optional<ZoneId> parse(String text) {
         return IdText.valid(text) ? Optional.of(new ZoneId(text)) : Optional.empty();
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/id/package-info.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/id/package-info.java
@@ -1,2 +1,2 @@
-/** Value types for the names of things, so that one is never passed for another. */
+/** Typed identifiers, so that the compiler rejects an id of one kind in place of another. */
 package io.stackhall.core.id;
--- a/stackhall-core/src/test/java/io/stackhall/core/id/UpstreamIdTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/id/UpstreamIdTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** Lives of upstreams, and their text. */
+/** Tests of the incarnations of upstreams and their text form. */
 class UpstreamIdTest {
 
     @Property
