--- a/stackhall-core/src/main/java/io/stackhall/core/config/AuditRecord.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/config/AuditRecord.java
@@ -4,16 +4,16 @@
 import java.util.Objects;
 
 /**
- * One line of the audit trail.
+ * A record of the audit trail, written for each requested change.
  *
- * @param sequence counts the changes that were asked for
- * @param timeMillis the wall clock of the host that took the change
- * @param operator who asked
+ * @param sequence number of the requested change, counted from 1
+ * @param timeMillis wall-clock time of the host that received the change, in Unix milliseconds
+ * @param operator the operator who requested the change
  * @param changeId the change
- * @param change what kind of change
- * @param fromRevision the revision before
- * @param revision the revision after
- * @param outcome what became of it
+ * @param change short description of the change
+ * @param fromRevision the revision before the change
+ * @param revision the revision after the change
+ * @param outcome whether the change was accepted
  */
 public record AuditRecord(
         long sequence,
@@ -25,7 +25,7 @@
         long revision,
         ChangeOutcome.Verdict outcome) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public AuditRecord {
         Objects.requireNonNull(operator, "operator");
         Objects.requireNonNull(changeId, "changeId");
--- a/stackhall-core/src/main/java/io/stackhall/core/config/CallerSpec.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/config/CallerSpec.java
@@ -4,15 +4,15 @@
 import java.util.Objects;
 
 /**
- * A caller and its rights.
+ * The API key of a customer and the highest priority that its requests may have.
  *
- * @param id its name
- * @param keyHash SHA-256 of its key, in lower-case hexadecimal
- * @param priority how urgent its requests are
+ * @param id the customer
+ * @param keyHash SHA-256 hash of the key, in lower-case hexadecimal
+ * @param priority highest priority that a request may ask for, and the default
  */
 public record CallerSpec(CustomerId id, String keyHash, Priority priority) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public CallerSpec {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(keyHash, "keyHash");
--- a/stackhall-core/src/main/java/io/stackhall/core/config/ChangeOutcome.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/config/ChangeOutcome.java
@@ -4,11 +4,11 @@
 import java.util.Objects;
 
 /**
- * What became of a change.
+ * The outcome of a change.
  *
- * @param verdict whether it was accepted
- * @param revision the revision after it, or the one in force where it was refused
- * @param findings why it was refused as invalid
+ * @param verdict whether the change was accepted
+ * @param revision the revision after the change, or the one in force if it was rejected
+ * @param findings the reasons why the change is invalid; empty for other verdicts
  */
 public record ChangeOutcome(Verdict verdict, long revision, List<Finding> findings) {
 
@@ -20,11 +20,13 @@
 
     /** Whether a change was accepted. */
     public enum Verdict {
-        /** It is committed and comes into force. */
+        /** The change is committed and takes effect. */
         ACCEPTED,
-        /** Another change came first. */
+        /**
+         * The change is based on a revision that is not in force, since another change came first.
+         */
         REVISION_MISMATCH,
-        /** It is wrong in itself. */
+        /** The new deployment is invalid. */
         INVALID
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/config/ConfigRegister.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/config/ConfigRegister.java
@@ -14,17 +14,17 @@
 import java.util.TreeSet;
 
 /**
- * The replicated register of the configuration: compare-and-set on the revision, first answers kept
- * for resends, and the audit trail.
+ * The replicated register of the configuration, with compare-and-set on the revision, deduplication
+ * of resent changes, and an audit trail.
  *
- * <p>It is deterministic: every replica that applies the same changes holds the same state.
+ * <p>It is deterministic: replicas that apply the same changes have the same state.
  */
 public final class ConfigRegister {
 
-    /** How many first answers are kept for resends. */
+    /** Number of changes whose first answer is kept for resends. */
     public static final int MAX_RETAINED_ANSWERS = 10_000;
 
-    /** How many lines of the audit trail are kept in the register. */
+    /** Number of audit records that are kept in the register. */
     public static final int MAX_RETAINED_AUDIT_RECORDS = 10_000;
 
     private final Map<ChangeId, ChangeOutcome> answers = new LinkedHashMap<>();
@@ -35,7 +35,7 @@
     /** Creates an empty register. */
     public ConfigRegister() {}
 
-    /** Creates a register from what {@link #state()} returned. */
+    /** Creates a register from a state returned by {@link #state()}. */
     public ConfigRegister(State state) {
         configuration = state.configuration();
         state.answers().forEach(answer -> answers.put(answer.id(), answer.outcome()));
@@ -43,7 +43,7 @@
         auditSequence = state.auditSequence();
     }
 
-    /** Everything that the register holds. */
+    /** The complete state of a register. */
     public record State(
             Configuration configuration,
             List<Answer> answers,
@@ -53,7 +53,7 @@
     /** The first answer to a change. */
     public record Answer(ChangeId id, ChangeOutcome outcome) {}
 
-    /** Applies a change, or returns the first answer to it again. */
+    /** Applies a change, or returns the first answer if a change with the same id was applied. */
     public ChangeOutcome apply(Change change) {
         ChangeOutcome first = answers.get(change.id());
         if (first != null) {
@@ -67,7 +67,7 @@
         return outcome;
     }
 
-    /** Returns what is in force. */
+    /** Returns the configuration in force. */
     public Configuration configuration() {
         return configuration;
     }
@@ -77,7 +77,7 @@
         return List.copyOf(audit);
     }
 
-    /** Returns everything that the register holds. */
+    /** Returns the complete state of the register. */
     public State state() {
         List<Answer> kept = new ArrayList<>();
         answers.forEach((id, outcome) -> kept.add(new Answer(id, outcome)));
--- a/stackhall-core/src/main/java/io/stackhall/core/config/Configuration.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/config/Configuration.java
@@ -8,15 +8,15 @@
 import java.util.TreeSet;
 
 /**
- * What is in force at one revision.
+ * The configuration in force at a revision.
  *
- * @param revision counts accepted changes, from 0
- * @param deployment the operators' deployment
- * @param draining the upstreams that operators have marked as leaving
+ * @param revision number of accepted changes, 0 initially
+ * @param deployment the deployment that operators have set
+ * @param draining the upstreams that operators are draining
  */
 public record Configuration(long revision, Deployment deployment, Set<UpstreamId> draining) {
 
-    /** Copies the set in a fixed order. */
+    /** Copies the set, sorted by upstream name. */
     public Configuration {
         Objects.requireNonNull(deployment, "deployment");
         Set<UpstreamId> ordered = new TreeSet<>(Comparator.comparing(UpstreamId::value));
--- a/stackhall-core/src/main/java/io/stackhall/core/config/Deployment.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/config/Deployment.java
@@ -7,7 +7,8 @@
 import java.util.Optional;
 
 /**
- * Everything that operators decide: what is served, for whom, and under which policy.
+ * The part of the configuration that operators define: models, adapters and services, the API keys
+ * that may use them, the placement policy and the limits of the weight store.
  *
  * @see DeploymentChecker
  */
@@ -29,7 +30,7 @@
         Objects.requireNonNull(weightStore, "weightStore");
     }
 
-    /** Returns the deployment before any was applied: it serves nothing. */
+    /** Returns the initial deployment, which serves nothing. */
     public static Deployment empty() {
         return new Deployment(
                 List.of(),
@@ -40,17 +41,17 @@
                 new WeightStoreSpec(1, 1));
     }
 
-    /** Returns the model of that name. */
+    /** Returns the model with the given name, if there is one. */
     public Optional<ModelSpec> model(ModelId id) {
         return models.stream().filter(model -> model.id().equals(id)).findFirst();
     }
 
-    /** Returns the adapter of that name. */
+    /** Returns the adapter with the given name, if there is one. */
     public Optional<AdapterSpec> adapter(ModelId id) {
         return adapters.stream().filter(adapter -> adapter.id().equals(id)).findFirst();
     }
 
-    /** Returns the service of that name. */
+    /** Returns the service with the given name, if there is one. */
     public Optional<ServiceSpec> service(ServiceName name) {
         return services.stream().filter(service -> service.name().equals(name)).findFirst();
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/config/DeploymentChecker.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/config/DeploymentChecker.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Finds everything that is wrong with a deployment in one pass. */
+/** Validates a deployment and reports all errors at once. */
 public final class DeploymentChecker {
 
     private static final int SHA_256_HEX_LENGTH = 64;
@@ -19,7 +19,7 @@
 
     private DeploymentChecker() {}
 
-    /** Returns the deployment, or all that is wrong with it, each with its JSON pointer. */
+    /** Returns the deployment if it is valid, or else every error with its JSON pointer. */
     public static Either<List<Finding>, Deployment> check(Deployment deployment) {
         DeploymentChecker checker = new DeploymentChecker();
         checker.checkModels(deployment);
--- a/stackhall-core/src/main/java/io/stackhall/core/config/Finding.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/config/Finding.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * One thing that is wrong with an input, and where.
+ * A validation error in an input.
  *
- * @param place where it stands, as a JSON pointer or a line and column
- * @param message what is wrong, naming the offending value
+ * @param place location of the error, as a JSON pointer or a line and column
+ * @param message description of the error, including the invalid value
  */
 public record Finding(String place, String message) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public Finding {
         Objects.requireNonNull(place, "place");
         Objects.requireNonNull(message, "message");
--- a/stackhall-core/src/main/java/io/stackhall/core/config/ModelSpec.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/config/ModelSpec.java
@@ -6,15 +6,16 @@
 /**
  * A model of a deployment.
  *
- * @param id its name
- * @param version the version that should serve
- * @param memoryMib accelerator memory of its weights, in MiB
- * @param floor copies to keep resident in each availability zone where memory allows
- * @param repeatable whether a request for it may run more than once
+ * @param id name of the model
+ * @param version the version to serve
+ * @param memoryMib accelerator memory of the model's weights, in MiB
+ * @param floor minimum number of copies to keep resident in each availability zone, as far as
+ *     memory allows
+ * @param repeatable whether a request for the model may run more than once
  */
 public record ModelSpec(ModelId id, String version, long memoryMib, int floor, boolean repeatable) {
 
-    /** Checks the parts that no finding reports. */
+    /** Rejects null components; {@link DeploymentChecker} validates everything else. */
     public ModelSpec {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(version, "version");
--- a/stackhall-core/src/main/java/io/stackhall/core/config/PolicyName.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/config/PolicyName.java
@@ -3,15 +3,15 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** The placement policies that a deployment may name. */
+/** Placement policies that a deployment may select. */
 public enum PolicyName {
-    /** Weighs the demand expected of a load against what the evicted models lose. */
+    /** Compares the demand that a load is expected to serve with the loss from evicted models. */
     EXPECTED_GAIN("expected-gain"),
-    /** Weighs as expected-gain does, and loads where the weights are nearest at hand. */
+    /** Weighs loads as expected-gain does, and loads a model where its weights are nearest. */
     NEAREST_COPY("nearest-copy"),
-    /** Loads on a miss and evicts what was used longest ago. */
+    /** Loads a model on a miss and evicts the least recently used one. */
     LEAST_RECENTLY_USED("least-recently-used"),
-    /** Keeps whatever fits first and never evicts. */
+    /** Loads models as long as they fit and never evicts. */
     STATIC("static");
 
     private final String text;
@@ -20,12 +20,12 @@
         this.text = text;
     }
 
-    /** Returns the name as operators write it. */
+    /** Returns the name of the policy in the configuration. */
     public String text() {
         return text;
     }
 
-    /** Returns the policy of a name, if there is one. */
+    /** Returns the policy with the given configuration name, if there is one. */
     public static Optional<PolicyName> of(String text) {
         return Arrays.stream(values()).filter(name -> name.text.equals(text)).findFirst();
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/config/PolicySpec.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/config/PolicySpec.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * Which policy places models.
+ * The placement policies of a deployment.
  *
- * @param active the policy that gives orders
- * @param compared the policy that decides in shadow on the same events, if any
+ * @param active the policy whose decisions are carried out
+ * @param compared a policy that decides on the same events in shadow mode, for comparison only
  */
 public record PolicySpec(PolicyName active, Optional<PolicyName> compared) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public PolicySpec {
         Objects.requireNonNull(active, "active");
         Objects.requireNonNull(compared, "compared");
--- a/stackhall-core/src/main/java/io/stackhall/core/config/Priority.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/config/Priority.java
@@ -1,11 +1,11 @@
 package io.stackhall.core.config;
 
-/** How urgent a caller's requests are, most urgent first. */
+/** Priority of requests, highest first. */
 public enum Priority {
-    /** Somebody waits and must not be kept waiting. */
+    /** A caller is waiting for the result and must not be delayed. */
     URGENT,
-    /** Somebody waits. */
+    /** A caller is waiting for the result. */
     NORMAL,
-    /** Nobody waits; the work must only not be lost. */
+    /** No caller is waiting; the work may be delayed but must not be lost. */
     DEFERRED
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/config/ServiceSpec.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/config/ServiceSpec.java
@@ -4,14 +4,14 @@
 import java.util.Objects;
 
 /**
- * A plain service beside the model engines.
+ * A plain service, which is an upstream other than a model engine.
  *
- * @param name its name in the path
- * @param repeatable whether a call of it may run more than once
+ * @param name name of the service in the request path
+ * @param repeatable whether a request to the service may run more than once
  */
 public record ServiceSpec(ServiceName name, boolean repeatable) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public ServiceSpec {
         Objects.requireNonNull(name, "name");
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/config/WeightStoreSpec.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/config/WeightStoreSpec.java
@@ -1,9 +1,10 @@
 package io.stackhall.core.config;
 
 /**
- * The limits of the weight store.
+ * Limits of the store from which model weights are loaded.
  *
- * @param loadsPerSecond loads that it starts in a second, over all zones
- * @param parallelLoads loads that it serves at once at full speed, over all zones
+ * @param loadsPerSecond number of loads that may start per second, over all zones
+ * @param parallelLoads number of concurrent loads that the store serves at full speed, over all
+ *     zones
  */
 public record WeightStoreSpec(double loadsPerSecond, int parallelLoads) {}
--- a/stackhall-core/src/main/java/io/stackhall/core/config/package-info.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/config/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' deployment, its checks, and the register that orders changes of it. */
+/** The deployment that operators define, its validation, and the register that orders changes. */
 package io.stackhall.core.config;
--- a/stackhall-core/src/test/java/io/stackhall/core/config/ConfigRegisterTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/config/ConfigRegisterTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How changes are ordered, remembered and audited. */
+/** Tests of the ordering, deduplication and audit of changes. */
 class ConfigRegisterTest {
 
     private final ConfigRegister register = new ConfigRegister();
