--- a/stackhall-core/src/main/java/io/stackhall/core/residency/AdapterSteps.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/AdapterPlanner.java
@@ -16,15 +16,15 @@
  *
  * <p>Not thread-safe: one thread uses it.
  */
-final class AdapterSteps {
+final class AdapterPlanner {
 
     private final Map<AdapterKey, Long> usedAt = new HashMap<>();
 
     /** An adapter that is to be loaded, or to make room. */
-    record Step(boolean load, AdapterKey key) {}
+    record Change(boolean load, AdapterKey key) {}
 
     /** Notes that an adapter was asked for. */
-    void used(AdapterKey key, long now) {
+    void recordUse(AdapterKey key, long now) {
         usedAt.put(key, now);
     }
 
@@ -33,29 +33,29 @@
      *
      * @param spare whether free slots may be filled with adapters that nobody waits for
      */
-    Optional<Step> next(EngineLedger engine, EngineSpec spec, boolean spare) {
-        Optional<Step> wanted = wanted(engine, spec);
+    Optional<Change> nextChange(EngineTracker engine, EngineSpec spec, boolean spare) {
+        Optional<Change> wanted = wanted(engine, spec);
         return wanted.isPresent() || !spare ? wanted : spare(engine, spec);
     }
 
-    private Optional<Step> wanted(EngineLedger engine, EngineSpec spec) {
-        Optional<AdapterKey> next = engine.wanted().next();
+    private Optional<Change> wanted(EngineTracker engine, EngineSpec spec) {
+        Optional<AdapterKey> next = engine.adapterQueue().peek();
         while (next.isPresent()) {
             AdapterKey key = next.get();
             Set<AdapterKey> held = engine.adapters();
             boolean possible = engine.instance().copyOf(key.model()).isPresent();
             if (!possible || held.contains(key)) {
-                engine.wanted().dropNext();
-                next = engine.wanted().next();
+                engine.adapterQueue().removeFirst();
+                next = engine.adapterQueue().peek();
                 continue;
             }
             boolean fits =
                     held.size() < spec.adapterSlots() && memoryMb(spec, key) <= engine.freeMb(spec);
             if (fits) {
-                engine.wanted().dropNext();
-                return Optional.of(new Step(true, key));
+                engine.adapterQueue().removeFirst();
+                return Optional.of(new Change(true, key));
             }
-            return leastUsed(held).map(old -> new Step(false, old));
+            return leastUsed(held).map(old -> new Change(false, old));
         }
         return Optional.empty();
     }
@@ -64,7 +64,7 @@
      * Fills a free slot with an adapter that may be asked for: the one used last, or the first that
      * the engine lacks. While an engine loads a model, for some seconds, it can be given none.
      */
-    private Optional<Step> spare(EngineLedger engine, EngineSpec spec) {
+    private Optional<Change> spare(EngineTracker engine, EngineSpec spec) {
         Set<AdapterKey> held = engine.adapters();
         if (held.size() >= spec.adapterSlots()) {
             return Optional.empty();
@@ -80,7 +80,7 @@
         }
         return Optional.ofNullable(best)
                 .filter(key -> memoryMb(spec, key) <= engine.freeMb(spec))
-                .map(key -> new Step(true, key));
+                .map(key -> new Change(true, key));
     }
 
     private long lastUsed(AdapterKey key) {
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/WantedAdapters.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/AdapterQueue.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /** The adapters that requests wait for on one engine, in the order in which they were asked for. */
-final class WantedAdapters {
+final class AdapterQueue {
 
     private final Deque<AdapterKey> keys = new ArrayDeque<>();
 
@@ -15,11 +15,11 @@
         }
     }
 
-    Optional<AdapterKey> next() {
+    Optional<AdapterKey> peek() {
         return Optional.ofNullable(keys.peekFirst());
     }
 
-    void dropNext() {
+    void removeFirst() {
         keys.pollFirst();
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/AdapterSlots.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/AdapterSlots.java
@@ -21,37 +21,37 @@
     private final Set<AdapterKey> removed = new HashSet<>();
 
     /** Notes that an adapter has been ordered. */
-    void loaded(AdapterKey key) {
+    void markLoaded(AdapterKey key) {
         placed.add(key);
         removed.remove(key);
     }
 
     /** Notes that an adapter is unloaded for certain. */
-    void unloaded(AdapterKey key) {
+    void markUnloaded(AdapterKey key) {
         placed.remove(key);
         removed.add(key);
     }
 
     /** Notes that a model is unloaded for certain, and its adapters with it. */
-    void unloaded(ModelId model) {
+    void markUnloaded(ModelId model) {
         placed.removeIf(key -> key.model().equals(model));
         removed.removeIf(key -> key.model().equals(model));
     }
 
     /** Takes in the engine's own account. */
-    void read(List<ModelCopy> account) {
+    void addReported(List<ModelCopy> account) {
         account.forEach(copy -> addAll(copy, placed));
         placed.removeAll(removed);
     }
 
     /** Takes in a heartbeat: one that no longer shows an unloaded adapter needs no correction. */
-    void reported(Instance report) {
+    void onHeartbeat(Instance report) {
         Set<AdapterKey> shown = shown(report);
         removed.removeIf(key -> !shown.contains(key));
     }
 
     /** Returns the adapters that are resident or may be. */
-    Set<AdapterKey> held(Instance report) {
+    Set<AdapterKey> occupied(Instance report) {
         Set<AdapterKey> all = shown(report);
         all.removeAll(removed);
         all.addAll(placed);
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineCapacity.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineCapacity.java
@@ -34,7 +34,7 @@
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final Map<UpstreamId, Window> windows = new HashMap<>();
-    private double perSecond = PlacementView.UNKNOWN_RATE;
+    private double requestsPerSecond = PlacementView.UNKNOWN_RATE;
 
     private static final class Window {
         private final long since;
@@ -47,13 +47,13 @@
     }
 
     /** Takes in what a host says of each engine since it told last. */
-    void worked(Map<UpstreamId, InstanceWork> work, long now) {
+    void recordWork(Map<UpstreamId, InstanceWork> work, long now) {
         work.forEach((id, told) -> add(id, told, now));
         windows.values().removeIf(window -> now - window.since > 2 * WINDOW_NANOS);
     }
 
-    double perSecond() {
-        return perSecond;
+    double requestsPerSecond() {
+        return requestsPerSecond;
     }
 
     private void add(UpstreamId id, InstanceWork told, long now) {
@@ -74,9 +74,9 @@
         double rate = window.answered * NANOS_PER_SECOND / length;
         double slowShare = (double) window.slow / window.answered;
         if (slowShare <= GOOD_SHARE) {
-            perSecond = Math.max(perSecond, rate);
-        } else if (slowShare >= BAD_SHARE && rate < perSecond) {
-            perSecond += (rate - perSecond) * FALL;
+            requestsPerSecond = Math.max(requestsPerSecond, rate);
+        } else if (slowShare >= BAD_SHARE && rate < requestsPerSecond) {
+            requestsPerSecond += (rate - requestsPerSecond) * FALL;
         }
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineReport.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineReport.java
@@ -20,7 +20,7 @@
     }
 
     /** Returns whether another life of the engine gave this account. */
-    boolean ofAnotherLife(UpstreamId id) {
+    boolean isOfOtherIncarnation(UpstreamId id) {
         return bornMillis != id.bornMillis() && bornMillis != UpstreamId.UNTOLD;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineLedger.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineTracker.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 
 /** What one engine holds or may come to hold, and the orders to it that are open. */
-final class EngineLedger {
+final class EngineTracker {
 
     /** An order that is not seen to be done by then is looked into. */
     private static final long OVERDUE_NANOS = Duration.ofSeconds(3).toNanos();
@@ -39,7 +39,7 @@
     private long ordersTaken = -1;
 
     /** The order whose answer is awaited or was lost. */
-    private EngineOrder unanswered;
+    private EngineOrder unansweredOrder;
 
     /** The order for a model that has been taken and is not seen to be done. */
     private EngineOrder underWay;
@@ -53,7 +53,7 @@
     private ModelId nextLoad;
 
     private long nextLoadSince;
-    private final ReadAccount account = new ReadAccount();
+    private final ReportedModels account = new ReportedModels();
     private long takenAt;
     private long lostAt;
     private long leastTaken;
@@ -64,14 +64,14 @@
     private long absentAt = -1;
 
     private final Reachability reachability;
-    private boolean lost;
+    private boolean isLost;
     private boolean resting;
     private boolean heard;
-    private final Map<ModelId, Long> since = new HashMap<>();
+    private final Map<ModelId, Long> residentSince = new HashMap<>();
     private final AdapterSlots slots = new AdapterSlots();
-    private final WantedAdapters wanted = new WantedAdapters();
+    private final AdapterQueue adapterQueue = new AdapterQueue();
 
-    EngineLedger(Instance instance, Duration heartbeat) {
+    EngineTracker(Instance instance, Duration heartbeat) {
         this.instance = instance;
         this.reachability = new Reachability(heartbeat);
     }
@@ -81,41 +81,41 @@
     }
 
     /** Notes that a host cannot connect to the engine. */
-    void unreachable(HostId host, boolean refused) {
-        reachability.unreachable(host, refused);
+    void recordConnectFailure(HostId host, boolean refused) {
+        reachability.recordConnectFailure(host, refused);
     }
 
     /** Returns whether the engine counts as serving nobody until its next heartbeat. */
-    boolean lost() {
-        return lost;
+    boolean isLost() {
+        return isLost;
     }
 
     /** Notes that the engine wants nothing from this host for some time. */
-    void wantsRest(Duration time, long now) {
-        reachability.wantsRest(time, now);
-        resting = reachability.rests(now);
+    void recordRest(Duration time, long now) {
+        reachability.recordRest(time, now);
+        resting = reachability.isResting(now);
     }
 
     /** Takes in what the engine said last, which may be what it had said before. */
-    void reported(Instance report, long now) {
+    void onHeartbeat(Instance report, long now) {
         boolean newer = !heard || report.sequence() > instance.sequence();
         instance = report;
         if (newer) {
             takeIn(report, now);
         }
         endModelOrder();
-        lost = absentAt >= 0 || reachability.lost(now);
-        resting = reachability.rests(now);
+        isLost = absentAt >= 0 || reachability.isLost(now);
+        resting = reachability.isResting(now);
     }
 
     private void takeIn(Instance report, long now) {
-        reachability.heard(now);
+        reachability.recordHeartbeat(now);
         absentAt = -1;
-        slots.reported(report);
+        slots.onHeartbeat(report);
         long seen = heard ? now : now - HELD_BEFORE_NANOS;
         heard = true;
-        report.models().forEach(copy -> since.putIfAbsent(copy.model(), seen));
-        since.keySet().removeIf(model -> report.copyOf(model).isEmpty());
+        report.models().forEach(copy -> residentSince.putIfAbsent(copy.model(), seen));
+        residentSince.keySet().removeIf(model -> report.copyOf(model).isEmpty());
     }
 
     /** The heartbeat that shows an order done may come before the answer to the order. */
@@ -127,8 +127,8 @@
             return;
         }
         if (!underWay.load()) {
-            account.forget(underWay.model());
-            slots.unloaded(underWay.model());
+            account.remove(underWay.model());
+            slots.markUnloaded(underWay.model());
         }
         underWay = null;
     }
@@ -141,25 +141,25 @@
     }
 
     private List<ModelCopy> unseenModels() {
-        return account.unseenIn(instance).stream()
+        return account.missingFrom(instance).stream()
                 .filter(copy -> !isLoading(copy.model()))
                 .toList();
     }
 
     /** Takes in the engine's own account; the newest there is of how many orders it has taken. */
-    void read(EngineReport report, long now) {
+    void onReport(EngineReport report, long now) {
         reading = false;
-        if (report.ofAnotherLife(instance.id())) {
+        if (report.isOfOtherIncarnation(instance.id())) {
             nextReadAt = now + REREAD_NANOS;
             return;
         }
-        boolean stale = unanswered == null && report.ordersTaken() < leastTaken;
+        boolean stale = unansweredOrder == null && report.ordersTaken() < leastTaken;
         if (stale) {
             nextReadAt = now + REREAD_NANOS;
             return;
         }
-        account.read(report.models(), now);
-        slots.read(report.models());
+        account.replace(report.models(), now);
+        slots.addReported(report.models());
         if (report.busy() && underWay == null) {
             nextReadAt = now + REREAD_NANOS;
             return;
@@ -168,8 +168,8 @@
         if (doubtful != null && now - doubtfulSince > LONGEST_LAG_NANOS) {
             doubtful = null;
         }
-        if (unanswered != null && ordersTaken != unanswered.expectedTaken()) {
-            unanswered = null;
+        if (unansweredOrder != null && ordersTaken != unansweredOrder.expectedTaken()) {
+            unansweredOrder = null;
         }
         if (underWay != null && !report.busy() && now - takenAt > overdueAfter()) {
             endOverdue(report);
@@ -191,19 +191,19 @@
         underWay = null;
     }
 
-    void readFailed(long now) {
+    void onReportFailed(long now) {
         reading = false;
         nextReadAt = now + REREAD_NANOS;
     }
 
     /** Returns whether the engine's account is needed now, and marks it as being read. */
-    boolean startReading(long now) {
+    boolean startReportRequest(long now) {
         boolean overdue = underWay != null && now - takenAt > overdueAfter();
         overdue |=
                 doubtful != null
-                        || (!account.unseenIn(instance).isEmpty()
-                                && now - account.readAt() > OVERDUE_NANOS);
-        boolean needed = (ordersTaken < 0 || overdue) && !lost && !resting;
+                        || (!account.missingFrom(instance).isEmpty()
+                                && now - account.reportedAt() > OVERDUE_NANOS);
+        boolean needed = (ordersTaken < 0 || overdue) && !isLost && !resting;
         if (reading || !needed || now - nextReadAt < 0) {
             return false;
         }
@@ -213,38 +213,38 @@
     }
 
     /** Returns whether an order may be sent: while a model is loaded, engines refuse any other. */
-    boolean ready() {
+    boolean isReadyForOrder() {
         return ordersTaken >= 0
-                && !lost
+                && !isLost
                 && !resting
-                && unanswered == null
+                && unansweredOrder == null
                 && !reading
                 && underWay == null
                 && doubtful == null;
     }
 
     /** Returns whether the open order got no answer, so that it is to be sent again. */
-    boolean resendDue(long now) {
-        return unanswered != null && lostAt != 0 && !resting && now - lostAt >= RESEND_NANOS;
+    boolean isResendDue(long now) {
+        return unansweredOrder != null && lostAt != 0 && !resting && now - lostAt >= RESEND_NANOS;
     }
 
-    EngineOrder unanswered() {
-        return unanswered;
+    EngineOrder unansweredOrder() {
+        return unansweredOrder;
     }
 
     /** Returns whether a model is about to be unloaded, or is being. */
-    boolean makesRoom() {
-        return isModelUnload(unanswered) || isModelUnload(underWay);
+    boolean isUnloadingModel() {
+        return isModelUnload(unansweredOrder) || isModelUnload(underWay);
     }
 
     /** Sets what is loaded once the model that is being unloaded is gone. */
-    void loadNext(ModelId model, long now) {
+    void loadAfterUnload(ModelId model, long now) {
         nextLoad = model;
         nextLoadSince = now;
     }
 
     /** Returns what room was made for, once, unless making it has taken too long. */
-    Optional<ModelId> takeNextLoad(long now) {
+    Optional<ModelId> pollNextLoad(long now) {
         ModelId model = nextLoad;
         nextLoad = null;
         boolean old = now - nextLoadSince > LONGEST_UNLOAD_NANOS;
@@ -252,7 +252,7 @@
     }
 
     /** Returns the model that is being loaded, or may be, or is loaded next. */
-    Optional<ModelId> loading() {
+    Optional<ModelId> loadingModel() {
         return openLoad().or(() -> Optional.ofNullable(nextLoad));
     }
 
@@ -260,27 +260,29 @@
         if (isModelLoad(underWay)) {
             return Optional.of(underWay.model());
         }
-        return isModelLoad(unanswered) ? Optional.of(unanswered.model()) : Optional.empty();
+        return isModelLoad(unansweredOrder)
+                ? Optional.of(unansweredOrder.model())
+                : Optional.empty();
     }
 
     long ordersTaken() {
         return ordersTaken;
     }
 
-    void begin(EngineOrder order) {
-        unanswered = order;
+    void beginOrder(EngineOrder order) {
+        unansweredOrder = order;
         lostAt = 0;
         if (order.load()) {
             noteAdapter(order);
         }
     }
 
-    void resent() {
+    void markResent() {
         lostAt = 0;
     }
 
-    void answered(EngineAnswer answer, long now) {
-        EngineOrder order = unanswered;
+    void onAnswer(EngineAnswer answer, long now) {
+        EngineOrder order = unansweredOrder;
         switch (answer) {
             case TAKEN -> {
                 ordersTaken = order.expectedTaken() + 1;
@@ -292,17 +294,17 @@
                 } else {
                     noteAdapter(order);
                 }
-                unanswered = null;
+                unansweredOrder = null;
             }
             case HOLDS -> {
                 noteAdapter(order);
                 if (isModelLoad(order)) {
-                    account.holds(order.model());
+                    account.add(order.model());
                 }
                 boolean doneAtOnce = !order.load();
                 ordersTaken = order.expectedTaken() + (doneAtOnce ? 1 : 0);
                 leastTaken = ordersTaken;
-                unanswered = null;
+                unansweredOrder = null;
             }
             case CONFLICT, REFUSED, OTHER_INSTANCE, FENCED -> {
                 if (isModelLoad(order)) {
@@ -311,7 +313,7 @@
                 }
                 if (answer == EngineAnswer.OTHER_INSTANCE) {
                     absentAt = instance.sequence();
-                    lost = true;
+                    isLost = true;
                 }
                 countAgain(now, REREAD_NANOS);
             }
@@ -319,17 +321,17 @@
         }
     }
 
-    WantedAdapters wanted() {
-        return wanted;
+    AdapterQueue adapterQueue() {
+        return adapterQueue;
     }
 
-    long since(ModelId model) {
-        return since.getOrDefault(model, 0L);
+    long residentSince(ModelId model) {
+        return residentSince.getOrDefault(model, 0L);
     }
 
     /** Returns the adapters that are resident or may be. */
     Set<AdapterKey> adapters() {
-        return slots.held(instance);
+        return slots.occupied(instance);
     }
 
     /** Returns memory that nothing holds and no open order may come to hold, in MB. */
@@ -341,7 +343,7 @@
         for (AdapterKey key : adapters()) {
             used += spec.model(key.model()).map(ModelWeights::adapterMb).orElse(0.0);
         }
-        used += mayCome(underWay, spec) + mayCome(unanswered, spec) + mayCome(doubtful, spec);
+        used += mayCome(underWay, spec) + mayCome(unansweredOrder, spec) + mayCome(doubtful, spec);
         for (ModelCopy copy : unseenModels()) {
             used += weightsMb(copy.model(), spec);
         }
@@ -352,7 +354,7 @@
         ordersTaken = -1;
         leastTaken = 0;
         nextReadAt = now + pause;
-        unanswered = null;
+        unansweredOrder = null;
     }
 
     private double mayCome(EngineOrder order, EngineSpec spec) {
@@ -384,9 +386,9 @@
         }
         AdapterKey key = new AdapterKey(order.model(), order.adapter().get());
         if (order.load()) {
-            slots.loaded(key);
+            slots.markLoaded(key);
         } else {
-            slots.unloaded(key);
+            slots.markUnloaded(key);
         }
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineViews.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineViewBuilder.java
@@ -17,27 +17,27 @@
 import java.util.Optional;
 
 /** What the engines of one service hold, as a placement policy sees it. */
-final class EngineViews {
+final class EngineViewBuilder {
 
     private static final String ANY_VERSION = "";
 
-    private final List<EngineLedger> engines;
+    private final List<EngineTracker> engines;
     private final EngineSpec spec;
 
     /** Creates the views of those engines of a service that are not lost. */
-    EngineViews(Collection<EngineLedger> all, ServiceName service, EngineSpec spec) {
+    EngineViewBuilder(Collection<EngineTracker> all, ServiceName service, EngineSpec spec) {
         this.engines =
                 all.stream()
                         .filter(engine -> engine.instance().service().equals(service))
-                        .filter(engine -> !engine.lost())
+                        .filter(engine -> !engine.isLost())
                         .toList();
         this.spec = spec;
     }
 
     /** Returns how many engines hold each model. */
-    Map<ModelId, Integer> copies() {
+    Map<ModelId, Integer> copyCounts() {
         Map<ModelId, Integer> copies = new HashMap<>();
-        for (EngineLedger engine : engines) {
+        for (EngineTracker engine : engines) {
             engine.instance().models().forEach(copy -> copies.merge(copy.model(), 1, Integer::sum));
         }
         return copies;
@@ -58,7 +58,7 @@
         return new PlacementView(seats, wants, storeLoads, saturatingRate, now);
     }
 
-    private PlacementView.Seat seat(EngineLedger engine) {
+    private PlacementView.Seat seat(EngineTracker engine) {
         Instance instance = engine.instance();
         List<PlacementView.Held> held = new ArrayList<>();
         for (ModelCopy copy : engine.models()) {
@@ -70,7 +70,7 @@
                                             .orElse(0.0));
             held.add(
                     new PlacementView.Held(
-                            artifact(copy.model()), size, engine.since(copy.model())));
+                            artifact(copy.model()), size, engine.residentSince(copy.model())));
         }
         Map<ModelId, Duration> near = new HashMap<>();
         for (ModelWeights weights : spec.models().values()) {
@@ -85,8 +85,8 @@
                 (long) Math.floor(engine.freeMb(spec)),
                 instance.slots(),
                 held,
-                !engine.ready(),
-                engine.loading().map(EngineViews::artifact),
+                !engine.isReadyForOrder(),
+                engine.loadingModel().map(EngineViewBuilder::artifact),
                 near,
                 Optional.of(instance.zone()));
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/ModelDemand.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/ModelDemand.java
@@ -49,7 +49,7 @@
     private long askedSince;
 
     /** Takes in an entry host's counts of arrivals and waiting requests. */
-    void reported(
+    void recordReport(
             HostId host, Map<ModelId, Integer> arrivals, Map<ModelId, Integer> waiting, long now) {
         falling.report(host, arrivals, waiting, now);
         rising.report(host, arrivals, Map.of(), now);
@@ -61,7 +61,7 @@
     }
 
     /** Takes several copies of a model for the expectation that it will be asked for. */
-    void expect(ModelId model, int copies) {
+    void assumeDemand(ModelId model, int copies) {
         if (!asked && copies > 1) {
             expected.put(model, EXPECTED_BY_COPY * copies);
         }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/OrderHandover.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/OrderHandover.java
@@ -41,7 +41,7 @@
      *
      * @param electedAt when it was elected, on the monotonic clock in nanoseconds
      */
-    public boolean mayBegin(Predecessor predecessor, long electedAt, long now) {
+    public boolean mayIssueOrders(Predecessor predecessor, long electedAt, long now) {
         boolean waited = now - electedAt >= pause.toNanos();
         return switch (predecessor) {
             case NONE -> true;
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/Reachability.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/Reachability.java
@@ -35,7 +35,7 @@
     }
 
     /** Notes a heartbeat that is newer than those before. */
-    void heard(long now) {
+    void recordHeartbeat(long now) {
         heardAt = now;
         refused = false;
         timedOut.clear();
@@ -46,7 +46,7 @@
      *
      * @param refusal whether nobody listens, rather than nobody answering
      */
-    void unreachable(HostId host, boolean refusal) {
+    void recordConnectFailure(HostId host, boolean refusal) {
         refused |= refusal;
         if (!refusal) {
             timedOut.add(host);
@@ -54,18 +54,18 @@
     }
 
     /** Notes that the engine wants nothing from this host for some time; the later end counts. */
-    void wantsRest(Duration time, long now) {
+    void recordRest(Duration time, long now) {
         long end = now + time.toNanos();
         restEndsAt = Optional.of(restEndsAt.filter(known -> known - end > 0).orElse(end));
     }
 
     /** Returns whether the engine wants nothing from this host at present. */
-    boolean rests(long now) {
+    boolean isResting(long now) {
         return restEndsAt.filter(end -> now - end < 0).isPresent();
     }
 
     /** Returns whether the engine counts as lost until its next heartbeat. */
-    boolean lost(long now) {
+    boolean isLost(long now) {
         double missed = (now - heardAt) / (double) heartbeat.toNanos();
         boolean silent = timedOut.size() >= HOSTS_WITH_TIMEOUTS;
         return (refused && missed > SILENCE_AFTER_REFUSAL)
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/ReadAccount.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/ReportedModels.java
@@ -8,15 +8,15 @@
 import java.util.Set;
 
 /** The models that an engine holds by its own account or answer, beside those of its heartbeats. */
-final class ReadAccount {
+final class ReportedModels {
 
     private List<ModelCopy> models = List.of();
-    private long readAt;
+    private long reportedAt;
 
     /** Takes in what the engine's account lists. */
-    void read(List<ModelCopy> listed, long now) {
+    void replace(List<ModelCopy> listed, long now) {
         models = List.copyOf(listed);
-        readAt = now;
+        reportedAt = now;
     }
 
     /**
@@ -24,8 +24,8 @@
      * same load was ordered every 100 ms, five times within half a second (one day of load, from
      * the log).
      */
-    void holds(ModelId model) {
-        forget(model);
+    void add(ModelId model) {
+        remove(model);
         List<ModelCopy> more = new ArrayList<>(models);
         more.add(new ModelCopy(model, 0, Set.of()));
         models = List.copyOf(more);
@@ -35,17 +35,17 @@
      * An account that was read before an unload no longer counts once the unload is done. While it
      * did, all three models of an engine were unloaded one after the other to make room for one.
      */
-    void forget(ModelId model) {
+    void remove(ModelId model) {
         models = models.stream().filter(copy -> !copy.model().equals(model)).toList();
     }
 
     /** Returns the models that the engine's last heartbeat does not show. */
-    List<ModelCopy> unseenIn(Instance instance) {
+    List<ModelCopy> missingFrom(Instance instance) {
         return models.stream().filter(copy -> instance.copyOf(copy.model()).isEmpty()).toList();
     }
 
     /** Returns when the account was read last, on the monotonic clock in nanoseconds. */
-    long readAt() {
-        return readAt;
+    long reportedAt() {
+        return reportedAt;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyEffect.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyEffect.java
@@ -19,7 +19,7 @@
      *
      * @param within how long the load takes
      */
-    record TellComing(UpstreamId instance, ModelId model, Duration within)
+    record NotifyLoading(UpstreamId instance, ModelId model, Duration loadTime)
             implements ResidencyEffect {}
 
     /**
@@ -28,6 +28,7 @@
      * @param adapter the adapter concerned, or nothing where the model itself is
      * @param resident whether it is there, or about to go
      */
-    record Tell(UpstreamId instance, ModelId model, Optional<String> adapter, boolean resident)
+    record NotifyResidency(
+            UpstreamId instance, ModelId model, Optional<String> adapter, boolean resident)
             implements ResidencyEffect {}
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyKeeper.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyManager.java
@@ -33,7 +33,7 @@
  * most one is carried out, and none after a newer order. An order whose answer is lost stays open
  * and is sent again until its engine says what became of it; its memory stays charged meanwhile.
  */
-public final class ResidencyKeeper {
+public final class ResidencyManager {
 
     private static final long DECIDE_NANOS = Duration.ofMillis(100).toNanos();
 
@@ -45,14 +45,14 @@
 
     private final PlacementPolicy policy;
     private final Duration heartbeat;
-    private final StoreWindow store;
+    private final StoreLoadLimiter store;
     private final ModelDemand demand = new ModelDemand();
     private final EngineCapacity capacity = new EngineCapacity();
-    private final AdapterSteps adapters = new AdapterSteps();
-    private final Map<UpstreamId, EngineLedger> engines = new LinkedHashMap<>();
-    private Map<ServiceName, EngineSpec> specs = Map.of();
-    private EvacuatedZones evacuated = EvacuatedZones.none();
-    private Set<UpstreamId> limited = Set.of();
+    private final AdapterPlanner adapters = new AdapterPlanner();
+    private final Map<UpstreamId, EngineTracker> engines = new LinkedHashMap<>();
+    private Map<ServiceName, EngineSpec> setSpecs = Map.of();
+    private EvacuatedZones setEvacuatedZones = EvacuatedZones.none();
+    private Set<UpstreamId> setLimitedEngines = Set.of();
     private long nextDecision;
     private boolean learning;
     private long firstEngineAt;
@@ -64,16 +64,16 @@
      * @param storeWindow the window in which loads from the weight store are counted
      * @param heartbeat the interval of the engines' heartbeats
      */
-    public ResidencyKeeper(PlacementPolicy policy, Duration storeWindow, Duration heartbeat) {
+    public ResidencyManager(PlacementPolicy policy, Duration storeWindow, Duration heartbeat) {
         this.policy = policy;
         this.heartbeat = heartbeat;
-        this.store = new StoreWindow(storeWindow);
+        this.store = new StoreLoadLimiter(storeWindow);
     }
 
     /** Takes over what the services' engines are like. */
-    public void specs(Map<ServiceName, EngineSpec> next) {
-        specs = Map.copyOf(next);
-        specs.values().forEach(spec -> store.rate(spec.loadsPerSecond()));
+    public void setSpecs(Map<ServiceName, EngineSpec> next) {
+        setSpecs = Map.copyOf(next);
+        setSpecs.values().forEach(spec -> store.setRate(spec.loadsPerSecond()));
     }
 
     /** Forgets every order: somebody else may have given others since. */
@@ -81,32 +81,32 @@
         engines.clear();
         learning = !afterAnother;
         if (afterAnother) {
-            store.assumeFull(now);
+            store.exhaust(now);
         }
     }
 
     /** Takes in every instance that is known; an engine that is not among them is forgotten. */
-    public void known(Collection<Instance> instances, long now) {
+    public void updateInstances(Collection<Instance> instances, long now) {
         Set<UpstreamId> usable = new HashSet<>();
         for (Instance instance : instances) {
             boolean serves = instance.state() == InstanceState.READY;
-            if (serves && specs.containsKey(instance.service())) {
+            if (serves && setSpecs.containsKey(instance.service())) {
                 usable.add(instance.id());
-                EngineLedger engine = engines.get(instance.id());
+                EngineTracker engine = engines.get(instance.id());
                 if (engine == null) {
-                    engine = new EngineLedger(instance, heartbeat);
+                    engine = new EngineTracker(instance, heartbeat);
                     firstEngineAt = engines.isEmpty() ? now : firstEngineAt;
                     engines.put(instance.id(), engine);
                 }
-                engine.reported(instance, now);
+                engine.onHeartbeat(instance, now);
             }
         }
         engines.keySet().retainAll(usable);
     }
 
     /** Takes over in which zones engines serve nobody, so that copies are wanted elsewhere. */
-    public void evacuated(EvacuatedZones next) {
-        evacuated = next;
+    public void setEvacuatedZones(EvacuatedZones next) {
+        setEvacuatedZones = next;
     }
 
     /**
@@ -114,27 +114,27 @@
      * that is asked for more than its engine takes gets a further copy for that demand, while those
      * asked for rarely are served where they are.
      */
-    public void limited(Set<UpstreamId> named) {
-        limited = Set.copyOf(named);
+    public void setLimitedEngines(Set<UpstreamId> named) {
+        setLimitedEngines = Set.copyOf(named);
     }
 
-    private List<EngineLedger> inUse() {
+    private List<EngineTracker> inUse() {
         return engines.values().stream()
-                .filter(engine -> !evacuated.contains(engine.instance().zone()))
+                .filter(engine -> !setEvacuatedZones.contains(engine.instance().zone()))
                 .toList();
     }
 
     /** Takes in an entry host's counts of arrivals and waiting requests. */
-    public void demanded(
+    public void recordDemand(
             HostId host, Map<ModelId, Integer> arrivals, Map<ModelId, Integer> waiting, long now) {
-        demand.reported(host, arrivals, waiting, now);
+        demand.recordReport(host, arrivals, waiting, now);
     }
 
     /** Takes in what an entry host says of its requests at instances. */
-    public void worked(Map<UpstreamId, InstanceWork> work, long now) {
+    public void recordWork(Map<UpstreamId, InstanceWork> work, long now) {
         Map<UpstreamId, InstanceWork> ofEngines = new HashMap<>(work);
         ofEngines.keySet().retainAll(engines.keySet());
-        capacity.worked(ofEngines, now);
+        capacity.recordWork(ofEngines, now);
     }
 
     /**
@@ -142,68 +142,71 @@
      *
      * @param refused whether the connection was refused
      */
-    public void unreachable(UpstreamId id, HostId host, boolean refused) {
-        EngineLedger engine = engines.get(id);
+    public void recordConnectFailure(UpstreamId id, HostId host, boolean refused) {
+        EngineTracker engine = engines.get(id);
         if (engine != null) {
-            engine.unreachable(host, refused);
+            engine.recordConnectFailure(host, refused);
         }
     }
 
     /**
      * Notes that an engine wants nothing from this host for some time: neither orders nor reads.
      */
-    public void wantsRest(UpstreamId id, Duration time, long now) {
-        EngineLedger engine = engines.get(id);
+    public void recordRest(UpstreamId id, Duration time, long now) {
+        EngineTracker engine = engines.get(id);
         if (engine != null) {
-            engine.wantsRest(time, now);
+            engine.recordRest(time, now);
         }
     }
 
     /** Notes that an adapter was asked for. */
-    public void adapterUsed(ModelId model, String adapter, long now) {
-        adapters.used(new AdapterKey(model, adapter), now);
+    public void recordAdapterUse(ModelId model, String adapter, long now) {
+        adapters.recordUse(new AdapterKey(model, adapter), now);
     }
 
     /** Notes that requests wait for an adapter on an engine that holds its model. */
-    public void adapterWanted(UpstreamId id, ModelId model, String adapter, long now) {
-        adapterUsed(model, adapter, now);
-        EngineLedger engine = engines.get(id);
+    public void requestAdapter(UpstreamId id, ModelId model, String adapter, long now) {
+        recordAdapterUse(model, adapter, now);
+        EngineTracker engine = engines.get(id);
         if (engine != null) {
-            freeEngine(engine, model).wanted().add(new AdapterKey(model, adapter));
+            freeEngine(engine, model).adapterQueue().add(new AdapterKey(model, adapter));
         }
     }
 
     /** Returns an engine with the model that can take an order now, or else the one asked for. */
-    private EngineLedger freeEngine(EngineLedger asked, ModelId model) {
-        if (asked.ready()) {
+    private EngineTracker freeEngine(EngineTracker asked, ModelId model) {
+        if (asked.isReadyForOrder()) {
             return asked;
         }
         return engines.values().stream()
-                .filter(engine -> engine.instance().copyOf(model).isPresent() && engine.ready())
+                .filter(
+                        engine ->
+                                engine.instance().copyOf(model).isPresent()
+                                        && engine.isReadyForOrder())
                 .min(Comparator.comparingInt(engine -> engine.adapters().size()))
                 .orElse(asked);
     }
 
     /** Takes in the answer to an order. */
-    public List<ResidencyEffect> answered(EngineOrder order, EngineAnswer answer, long now) {
+    public List<ResidencyEffect> onAnswer(EngineOrder order, EngineAnswer answer, long now) {
         List<ResidencyEffect> effects = new ArrayList<>();
-        EngineLedger engine = engines.get(order.instance());
-        if (engine == null || !order.equals(engine.unanswered())) {
+        EngineTracker engine = engines.get(order.instance());
+        if (engine == null || !order.equals(engine.unansweredOrder())) {
             return effects;
         }
-        engine.answered(answer, now);
+        engine.onAnswer(answer, now);
         if (answer == EngineAnswer.TAKEN && order.load() && order.adapter().isEmpty()) {
             loadTime(engine.instance(), order.model())
                     .map(
                             time ->
-                                    new ResidencyEffect.TellComing(
+                                    new ResidencyEffect.NotifyLoading(
                                             order.instance(), order.model(), time))
                     .ifPresent(effects::add);
         }
         boolean done = answer == EngineAnswer.TAKEN || answer == EngineAnswer.HOLDS;
         if (done && order.load() && order.adapter().isPresent()) {
             effects.add(
-                    new ResidencyEffect.Tell(
+                    new ResidencyEffect.NotifyResidency(
                             order.instance(), order.model(), order.adapter(), true));
         }
         effects.addAll(step(now));
@@ -211,45 +214,45 @@
     }
 
     private Optional<Duration> loadTime(Instance instance, ModelId model) {
-        return Optional.ofNullable(specs.get(instance.service()))
+        return Optional.ofNullable(setSpecs.get(instance.service()))
                 .flatMap(spec -> spec.model(model))
                 .map(weights -> weights.loadTime(instance.inHostMemory(), instance.onDisk()));
     }
 
     /** Takes in an engine's own account of itself. */
-    public void read(UpstreamId id, EngineReport report, long now) {
-        EngineLedger engine = engines.get(id);
+    public void onReport(UpstreamId id, EngineReport report, long now) {
+        EngineTracker engine = engines.get(id);
         if (engine != null) {
-            engine.read(report, now);
+            engine.onReport(report, now);
         }
     }
 
     /** Notes that an engine's account could not be read. */
-    public void readFailed(UpstreamId id, long now) {
-        EngineLedger engine = engines.get(id);
+    public void onReportFailed(UpstreamId id, long now) {
+        EngineTracker engine = engines.get(id);
         if (engine != null) {
-            engine.readFailed(now);
+            engine.onReportFailed(now);
         }
     }
 
     /** Returns what to do now; to be called several times within a tenth of a second. */
     public List<ResidencyEffect> step(long now) {
         List<ResidencyEffect> effects = new ArrayList<>();
-        for (EngineLedger engine : engines.values()) {
-            if (engine.startReading(now)) {
+        for (EngineTracker engine : engines.values()) {
+            if (engine.startReportRequest(now)) {
                 Instance instance = engine.instance();
                 effects.add(new ResidencyEffect.ReadReport(instance.id(), instance.address()));
             }
-            if (engine.resendDue(now)) {
-                engine.resent();
-                effects.add(new ResidencyEffect.Send(engine.unanswered()));
-            } else if (engine.ready()) {
+            if (engine.isResendDue(now)) {
+                engine.markResent();
+                effects.add(new ResidencyEffect.Send(engine.unansweredOrder()));
+            } else if (engine.isReadyForOrder()) {
                 nextOrder(engine, now).ifPresent(order -> begin(engine, order, effects, now));
             }
         }
         if (now - nextDecision >= 0) {
             nextDecision = now + DECIDE_NANOS;
-            specs.forEach((service, spec) -> decide(service, spec, effects, now));
+            setSpecs.forEach((service, spec) -> decide(service, spec, effects, now));
         }
         return effects;
     }
@@ -259,28 +262,30 @@
         if (engines.isEmpty()) {
             return;
         }
-        EngineViews views = new EngineViews(inUse(), service, spec);
+        EngineViewBuilder views = new EngineViewBuilder(inUse(), service, spec);
         if (learning) {
-            views.copies().forEach(demand::expect);
+            views.copyCounts().forEach(demand::assumeDemand);
             learning = now - firstEngineAt < SETTLE_NANOS;
         }
-        PlacementView view = views.view(demand, store.left(now), capacity.perSecond(), now);
+        PlacementView view =
+                views.view(demand, store.availableLoads(now), capacity.requestsPerSecond(), now);
         boolean nobodyWaits = view.wants().stream().allMatch(want -> want.waiting() == 0);
         if (learning && nobodyWaits) {
             return;
         }
         for (Move move : policy.decide(view)) {
-            EngineLedger engine = engines.get(move.upstream());
+            EngineTracker engine = engines.get(move.upstream());
             if (engine == null) {
                 continue;
             }
             ModelId model = move.artifact().id();
             switch (move) {
-                case Move.Load ignored when engine.makesRoom() -> engine.loadNext(model, now);
-                case Move.Load ignored when engine.ready() ->
+                case Move.Load ignored when engine.isUnloadingModel() ->
+                        engine.loadAfterUnload(model, now);
+                case Move.Load ignored when engine.isReadyForOrder() ->
                         modelLoad(engine, spec, model, now)
                                 .ifPresent(order -> begin(engine, order, effects, now));
-                case Move.Unload ignored when engine.ready() -> {
+                case Move.Unload ignored when engine.isReadyForOrder() -> {
                     EngineOrder order = newOrder(engine, false, model, Optional.empty(), false);
                     begin(engine, order, effects, now);
                 }
@@ -291,9 +296,9 @@
         }
     }
 
-    private Optional<EngineOrder> nextOrder(EngineLedger engine, long now) {
-        EngineSpec spec = specs.get(engine.instance().service());
-        Optional<ModelId> next = engine.takeNextLoad(now);
+    private Optional<EngineOrder> nextOrder(EngineTracker engine, long now) {
+        EngineSpec spec = setSpecs.get(engine.instance().service());
+        Optional<ModelId> next = engine.pollNextLoad(now);
         if (spec == null) {
             return Optional.empty();
         }
@@ -302,21 +307,21 @@
     }
 
     private Optional<EngineOrder> modelLoad(
-            EngineLedger engine, EngineSpec spec, ModelId model, long now) {
+            EngineTracker engine, EngineSpec spec, ModelId model, long now) {
         boolean fromStore = !engine.instance().hasCopyAtHand(model);
         Optional<ModelWeights> weights = spec.model(model);
         boolean fits = weights.isPresent() && weights.get().weightsMb() <= engine.freeMb(spec);
         boolean held = engine.instance().copyOf(model).isPresent();
-        if (!fits || held || (fromStore && store.left(now) < 1)) {
+        if (!fits || held || (fromStore && store.availableLoads(now) < 1)) {
             return Optional.empty();
         }
         return Optional.of(newOrder(engine, true, model, Optional.empty(), fromStore));
     }
 
-    private Optional<EngineOrder> adapterOrder(EngineLedger engine, EngineSpec spec) {
+    private Optional<EngineOrder> adapterOrder(EngineTracker engine, EngineSpec spec) {
         // An engine in need is not given work that nobody waits for.
-        boolean spare = !limited.contains(engine.instance().id());
-        return adapters.next(engine, spec, spare)
+        boolean spare = !setLimitedEngines.contains(engine.instance().id());
+        return adapters.nextChange(engine, spec, spare)
                 .map(
                         step ->
                                 newOrder(
@@ -328,7 +333,7 @@
     }
 
     private static EngineOrder newOrder(
-            EngineLedger engine,
+            EngineTracker engine,
             boolean load,
             ModelId model,
             Optional<String> adapter,
@@ -344,14 +349,14 @@
     }
 
     private void begin(
-            EngineLedger engine, EngineOrder order, List<ResidencyEffect> effects, long now) {
-        engine.begin(order);
+            EngineTracker engine, EngineOrder order, List<ResidencyEffect> effects, long now) {
+        engine.beginOrder(order);
         if (order.fromStore()) {
-            store.begin(now);
+            store.recordLoad(now);
         }
         if (!order.load()) {
             effects.add(
-                    new ResidencyEffect.Tell(
+                    new ResidencyEffect.NotifyResidency(
                             order.instance(), order.model(), order.adapter(), false));
         }
         effects.add(new ResidencyEffect.Send(order));
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/AdapterStepsTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/AdapterPlannerTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Which adapters an engine with free slots loads. */
-class AdapterStepsTest {
+class AdapterPlannerTest {
 
     private static final ModelId MODEL = new ModelId("a");
     private static final AdapterKey ADAPTER = new AdapterKey(MODEL, "a1");
 
-    private final AdapterSteps steps = new AdapterSteps();
-    private final EngineLedger engine =
-            new EngineLedger(instance("e", 1, "a"), Duration.ofMillis(1200));
+    private final AdapterPlanner steps = new AdapterPlanner();
+    private final EngineTracker engine =
+            new EngineTracker(instance("e", 1, "a"), Duration.ofMillis(1200));
     private final EngineSpec spec =
             new EngineSpec(
                     4,
@@ -41,13 +41,15 @@
 
     @Test
     void freeSlotsAreFilled() {
-        assertThat(steps.next(engine, spec, true)).contains(new AdapterSteps.Step(true, ADAPTER));
+        assertThat(steps.nextChange(engine, spec, true))
+                .contains(new AdapterPlanner.Change(true, ADAPTER));
     }
 
     @Test
     void engineWithALimitGetsOnlyAdaptersThatSomebodyWaitsFor() {
-        assertThat(steps.next(engine, spec, false)).isEmpty();
-        engine.wanted().add(ADAPTER);
-        assertThat(steps.next(engine, spec, false)).contains(new AdapterSteps.Step(true, ADAPTER));
+        assertThat(steps.nextChange(engine, spec, false)).isEmpty();
+        engine.adapterQueue().add(ADAPTER);
+        assertThat(steps.nextChange(engine, spec, false))
+                .contains(new AdapterPlanner.Change(true, ADAPTER));
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/EngineCapacityTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/EngineCapacityTest.java
@@ -21,29 +21,29 @@
     @Test
     void rateThatIsAnsweredInTimeIsWithinIt() {
         answers(3, 0, 30);
-        assertThat(capacity.perSecond()).isCloseTo(30, within(3.0));
+        assertThat(capacity.requestsPerSecond()).isCloseTo(30, within(3.0));
     }
 
     @Test
     void rateThatIsAnsweredSlowlyIsBeyondIt() {
         answers(3, 0, 30);
         answers(1, 1, 300);
-        assertThat(capacity.perSecond()).isBetween(10.0, 15.0);
+        assertThat(capacity.requestsPerSecond()).isBetween(10.0, 15.0);
     }
 
     @Test
     void fewAnswersTellNothing() {
         for (int i = 0; i < 20; i++) {
             now += 5 * STEP;
-            capacity.worked(Map.of(ENGINE, new InstanceWork(1, 1, 1)), now);
+            capacity.recordWork(Map.of(ENGINE, new InstanceWork(1, 1, 1)), now);
         }
-        assertThat(capacity.perSecond()).isEqualTo(8);
+        assertThat(capacity.requestsPerSecond()).isEqualTo(8);
     }
 
     private void answers(int answered, int slow, int times) {
         for (int i = 0; i < times; i++) {
             now += STEP;
-            capacity.worked(Map.of(ENGINE, new InstanceWork(9, answered, slow)), now);
+            capacity.recordWork(Map.of(ENGINE, new InstanceWork(9, answered, slow)), now);
         }
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/EngineLivesTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/EngineIncarnationTest.java
@@ -11,19 +11,19 @@
 import org.junit.jupiter.api.Test;
 
 /** Orders to an engine that starts again under its name. */
-class EngineLivesTest extends KeeperFixture {
+class EngineIncarnationTest extends ResidencyManagerFixture {
 
     @Test
     void engineThatStartsAgainUnderItsNameIsCountedAnew() {
-        keeper.known(List.of(life("e", 100, 90, "a")), now);
+        manager.updateInstances(List.of(life("e", 100, 90, "a")), now);
         readLife(100, 7);
-        waitsFor("b");
+        requestsWaitFor("b");
         EngineOrder open = onlyOrder();
-        keeper.answered(open, EngineAnswer.UNKNOWN, now);
-        keeper.known(List.of(life("e", 200, 1)), now);
-        pass(3000);
+        manager.onAnswer(open, EngineAnswer.UNKNOWN, now);
+        manager.updateInstances(List.of(life("e", 200, 1)), now);
+        advanceMillis(3000);
         readLife(200, 0);
-        waitsFor("b");
+        requestsWaitFor("b");
         EngineOrder order = onlyOrder();
         assertThat(order.instance()).isEqualTo(new UpstreamId("e", 200));
         assertThat(order.expectedTaken()).isZero();
@@ -32,20 +32,20 @@
 
     @Test
     void accountOfAnEarlierLifeIsNotCounted() {
-        keeper.known(List.of(life("e", 200, 1)), now);
-        keeper.read(
+        manager.updateInstances(List.of(life("e", 200, 1)), now);
+        manager.onReport(
                 new UpstreamId("e", 200),
                 new EngineReport(100, 7, false, List.of(copyOf("a"), copyOf("c"))),
                 now);
-        waitsFor("b");
+        requestsWaitFor("b");
         assertThat(orders()).isEmpty();
-        pass(500);
+        advanceMillis(500);
         readLife(200, 0);
         assertThat(onlyOrder().expectedTaken()).isZero();
     }
 
     private void readLife(long born, long taken) {
-        keeper.read(
+        manager.onReport(
                 new UpstreamId("e", born), new EngineReport(born, taken, false, List.of()), now);
     }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/LimitedEnginesReplayTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/LimitedEnginesReplayTest.java
@@ -43,6 +43,6 @@
                         PlacementPolicy.of(PolicyName.NEAREST_COPY),
                         (model, asked, nearest) -> asked)
                 .limited(LIMITED, PER_SECOND, leftOut)
-                .play();
+                .run();
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/ModelDemandTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ModelDemandTest.java
@@ -18,23 +18,23 @@
 
     @Test
     void severalCopiesAtTheStartCountUntilRequestsTell() {
-        demand.expect(MODEL, 2);
+        demand.assumeDemand(MODEL, 2);
         assertThat(demand.ratePerSecond(MODEL, at(60_000))).isEqualTo(6);
-        demand.reported(HOST, Map.of(new ModelId("other"), 1), Map.of(), at(60_000));
+        demand.recordReport(HOST, Map.of(new ModelId("other"), 1), Map.of(), at(60_000));
         assertThat(demand.ratePerSecond(MODEL, at(64_000))).isEqualTo(6);
         assertThat(demand.ratePerSecond(MODEL, at(66_000))).isZero();
     }
 
     @Test
     void oneCopyTellsNothing() {
-        demand.expect(MODEL, 1);
+        demand.assumeDemand(MODEL, 1);
         assertThat(demand.ratePerSecond(MODEL, at(0))).isZero();
     }
 
     @Test
     void riseShowsWithinTwoSecondsAndFallLater() {
         for (int tenth = 1; tenth <= 20; tenth++) {
-            demand.reported(HOST, Map.of(MODEL, 1), Map.of(), at(tenth * 100L));
+            demand.recordReport(HOST, Map.of(MODEL, 1), Map.of(), at(tenth * 100L));
         }
         assertThat(demand.ratePerSecond(MODEL, at(2000))).isBetween(4.5, 6.0);
         assertThat(demand.ratePerSecond(MODEL, at(10_000))).isGreaterThan(0.7);
@@ -44,7 +44,7 @@
     @Test
     void fallOfABusyModelIsBelievedWithinFiveSeconds() {
         for (int tenth = 1; tenth <= 100; tenth++) {
-            demand.reported(HOST, Map.of(MODEL, 3), Map.of(), at(tenth * 100L));
+            demand.recordReport(HOST, Map.of(MODEL, 3), Map.of(), at(tenth * 100L));
         }
         assertThat(demand.ratePerSecond(MODEL, at(10_000))).isGreaterThan(25);
         assertThat(demand.ratePerSecond(MODEL, at(15_000))).isLessThan(6);
@@ -52,7 +52,7 @@
 
     @Test
     void waitingForAModelThatNobodyServesAddsUp() {
-        demand.reported(HOST, Map.of(MODEL, 1), Map.of(MODEL, 1), at(0));
+        demand.recordReport(HOST, Map.of(MODEL, 1), Map.of(MODEL, 1), at(0));
         assertThat(demand.starvedSeconds(MODEL, false, at(0))).isZero();
         assertThat(demand.starvedSeconds(MODEL, false, at(1500))).isEqualTo(1.5);
         assertThat(demand.starvedSeconds(MODEL, true, at(1600))).isZero();
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/OrderHandoverProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/OrderHandoverProperties.java
@@ -61,7 +61,7 @@
     private long firstOfNext(long electionTakes) {
         long elected = LEASE + electionTakes;
         long at = elected;
-        while (!handover.mayBegin(Predecessor.UNREACHABLE, nanos(elected), nanos(at))) {
+        while (!handover.mayIssueOrders(Predecessor.UNREACHABLE, nanos(elected), nanos(at))) {
             at++;
         }
         return at;
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/OrderHandoverTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/OrderHandoverTest.java
@@ -17,24 +17,25 @@
 
     @Test
     void predecessorInReachIsAlwaysGivenItsTime() {
-        assertThat(fenced.mayBegin(Predecessor.REACHABLE, ELECTED, after(2999))).isFalse();
-        assertThat(fenced.mayBegin(Predecessor.REACHABLE, ELECTED, after(3000))).isTrue();
+        assertThat(fenced.mayIssueOrders(Predecessor.REACHABLE, ELECTED, after(2999))).isFalse();
+        assertThat(fenced.mayIssueOrders(Predecessor.REACHABLE, ELECTED, after(3000))).isTrue();
     }
 
     @Test
     void predecessorOutOfReachIsNotWaitedForWhereEnginesCheckTheFence() {
-        assertThat(fenced.mayBegin(Predecessor.UNREACHABLE, ELECTED, after(0))).isTrue();
+        assertThat(fenced.mayIssueOrders(Predecessor.UNREACHABLE, ELECTED, after(0))).isTrue();
     }
 
     @Test
     void predecessorOutOfReachIsGivenItsTimeWhereEnginesDoNot() {
-        assertThat(unfenced.mayBegin(Predecessor.UNREACHABLE, ELECTED, after(2999))).isFalse();
-        assertThat(unfenced.mayBegin(Predecessor.UNREACHABLE, ELECTED, after(3000))).isTrue();
+        assertThat(unfenced.mayIssueOrders(Predecessor.UNREACHABLE, ELECTED, after(2999)))
+                .isFalse();
+        assertThat(unfenced.mayIssueOrders(Predecessor.UNREACHABLE, ELECTED, after(3000))).isTrue();
     }
 
     @Test
     void firstGiverOfOrdersBeginsAtOnce() {
-        assertThat(unfenced.mayBegin(Predecessor.NONE, ELECTED, after(0))).isTrue();
+        assertThat(unfenced.mayIssueOrders(Predecessor.NONE, ELECTED, after(0))).isTrue();
     }
 
     private static long after(long millis) {
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementBenchmark.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementBenchmark.java
@@ -26,7 +26,7 @@
                 mean(stands, PlacementReplay.Outcome::urgentInTime),
                 mean(stands, PlacementReplay.Outcome::patientInTime),
                 mean(stands, PlacementReplay.Outcome::loads));
-        Map<String, PlacementReplay.Way> others = new LinkedHashMap<>();
+        Map<String, PlacementReplay.DemandEstimate> others = new LinkedHashMap<>();
         others.put("by-load", (model, asked, nearest) -> asked * missed(model, nearest));
         others.put(
                 "half-by-load",
@@ -40,14 +40,14 @@
 
     /** Returns which part of the objective the nearest load takes, all of it at most. */
     private static double missed(PlacementReplay.Model model, long nearestLoad) {
-        return Math.min(1, nearestLoad / (double) model.kind().objective());
+        return Math.min(1, nearestLoad / (double) model.kind().objectiveMillis());
     }
 
-    private static List<PlacementReplay.Outcome> play(PlacementReplay.Way way) {
+    private static List<PlacementReplay.Outcome> play(PlacementReplay.DemandEstimate way) {
         List<PlacementReplay.Outcome> all = new ArrayList<>();
         for (long seed = 0; seed < SEEDS; seed++) {
             PlacementPolicy policy = PlacementPolicy.of(PolicyName.NEAREST_COPY);
-            all.add(new PlacementReplay(seed, policy, way).play());
+            all.add(new PlacementReplay(seed, policy, way).run());
         }
         return all;
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplay.java
@@ -28,7 +28,7 @@
 final class PlacementReplay {
 
     /** How a model's demand is told to the policy. */
-    interface Way {
+    interface DemandEstimate {
         /** Returns the requests a second that a model is taken for. */
         double rate(Model model, double asked, long nearestLoad);
     }
@@ -38,16 +38,16 @@
         URGENT(400, 5_000),
         PATIENT(6_000, 20_000);
 
-        private final long objective;
+        private final long objectiveMillis;
         private final long deadline;
 
         Kind(long objective, long deadline) {
-            this.objective = objective;
+            this.objectiveMillis = objective;
             this.deadline = deadline;
         }
 
-        long objective() {
-            return objective;
+        long objectiveMillis() {
+            return objectiveMillis;
         }
     }
 
@@ -80,7 +80,7 @@
     private static final HostId HOST = new HostId("host");
 
     private final Random random;
-    private final Way way;
+    private final DemandEstimate way;
     private final PlacementPolicy policy;
     private final ModelDemand demand = new ModelDemand();
     private final List<Model> models = new ArrayList<>();
@@ -98,7 +98,7 @@
 
     private record Request(long at) {}
 
-    PlacementReplay(long seed, PlacementPolicy policy, Way way) {
+    PlacementReplay(long seed, PlacementPolicy policy, DemandEstimate way) {
         this.random = new Random(seed);
         this.policy = policy;
         this.way = way;
@@ -127,7 +127,7 @@
         return this;
     }
 
-    Outcome play() {
+    Outcome run() {
         for (long now = 0; now < LENGTH; now += ReplayEngine.STEP) {
             if (now % SHIFT_EVERY == 0 && now > 0) {
                 firstBusy = (firstBusy + SHIFT_BY) % URGENT_MODELS;
@@ -135,7 +135,7 @@
             if (now == LIMITED_FROM) {
                 engines.subList(0, limitedEngines).forEach(engine -> engine.limit(limitPerSecond));
             }
-            engines.forEach(ReplayEngine::earnPermits);
+            engines.forEach(ReplayEngine::refillPermits);
             arrive(now);
             endOrders(now);
             if (now % DECIDE_EVERY == 0) {
@@ -163,14 +163,14 @@
             if (engine.held.size() < PLACES) {
                 hold(engine, model.id());
             } else {
-                engine.keep(model.id());
+                engine.cacheWeights(model.id());
             }
         }
     }
 
     private static void hold(ReplayEngine engine, ModelId model) {
         engine.held.put(model, 0L);
-        engine.keep(model);
+        engine.cacheWeights(model);
     }
 
     private void arrive(long now) {
@@ -202,8 +202,8 @@
                         ReplayEngine engine = holder.get();
                         engine.permits -= 1;
                         engine.promptsReadAt = Math.max(now, engine.promptsReadAt) + PROMPT;
-                        engine.keep(model.id());
-                        if (engine.promptsReadAt - request.at() <= model.kind().objective) {
+                        engine.cacheWeights(model.id());
+                        if (engine.promptsReadAt - request.at() <= model.kind().objectiveMillis) {
                             inTime.merge(model.kind(), 1, Integer::sum);
                         }
                         holder = leastLoaded(model.id());
@@ -227,7 +227,7 @@
             engine.loading.ifPresent(
                     model -> {
                         engine.held.put(model, nanos(now));
-                        engine.keep(model);
+                        engine.cacheWeights(model);
                     });
             engine.loading = Optional.empty();
             engine.fromStore = false;
@@ -238,7 +238,7 @@
     }
 
     private void load(ReplayEngine engine, ModelId model, long now) {
-        Optional<Long> near = engine.nearLoad(model);
+        Optional<Long> near = engine.localLoadMillis(model);
         loads++;
         storeLoads += near.isEmpty() ? 1 : 0;
         engine.loading = Optional.of(model);
@@ -254,7 +254,7 @@
                         waits.put(model.id(), requests.size());
                     }
                 });
-        demand.reported(HOST, Map.copyOf(arrivals), waits, nanos(now));
+        demand.recordReport(HOST, Map.copyOf(arrivals), waits, nanos(now));
         arrivals.clear();
         for (Move move : policy.decide(view(now))) {
             ReplayEngine engine =
@@ -318,7 +318,7 @@
         double asked = demand.ratePerSecond(model.id(), nanos(now));
         long nearest =
                 engines.stream()
-                        .flatMap(engine -> engine.nearLoad(model.id()).stream())
+                        .flatMap(engine -> engine.localLoadMillis(model.id()).stream())
                         .mapToLong(Long::longValue)
                         .min()
                         .orElse(FROM_STORE);
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplayTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplayTest.java
@@ -27,6 +27,6 @@
     private static PlacementReplay.Outcome play(long seed, PolicyName policy) {
         return new PlacementReplay(
                         seed, PlacementPolicy.of(policy), (model, asked, nearest) -> asked)
-                .play();
+                .run();
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/ReachabilityTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ReachabilityTest.java
@@ -17,7 +17,7 @@
 
     @BeforeEach
     void hear() {
-        reachability.heard(0);
+        reachability.recordHeartbeat(0);
     }
 
     @Test
@@ -27,29 +27,29 @@
 
     @Test
     void refusedConnectionCountsOnceAHeartbeatIsMissing() {
-        reachability.unreachable(FIRST, true);
+        reachability.recordConnectFailure(FIRST, true);
         assertThat(lostAfter(1200)).isFalse();
         assertThat(lostAfter(1300)).isTrue();
     }
 
     @Test
     void oneHostWithoutAnAnswerMayBeCutOffItself() {
-        reachability.unreachable(FIRST, false);
-        reachability.unreachable(FIRST, false);
+        reachability.recordConnectFailure(FIRST, false);
+        reachability.recordConnectFailure(FIRST, false);
         assertThat(lostAfter(10_000)).isFalse();
-        reachability.unreachable(SECOND, false);
+        reachability.recordConnectFailure(SECOND, false);
         assertThat(lostAfter(2200)).isFalse();
         assertThat(lostAfter(2300)).isTrue();
     }
 
     @Test
     void heartbeatEndsIt() {
-        reachability.unreachable(FIRST, true);
-        reachability.heard(Duration.ofMillis(1500).toNanos());
+        reachability.recordConnectFailure(FIRST, true);
+        reachability.recordHeartbeat(Duration.ofMillis(1500).toNanos());
         assertThat(lostAfter(10_000)).isFalse();
     }
 
     private boolean lostAfter(long millis) {
-        return reachability.lost(Duration.ofMillis(millis).toNanos());
+        return reachability.isLost(Duration.ofMillis(millis).toNanos());
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/ReplayEngine.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ReplayEngine.java
@@ -43,7 +43,7 @@
         permits = 0;
     }
 
-    void earnPermits() {
+    void refillPermits() {
         if (limited()) {
             permits = Math.min(MOST_PERMITS, permits + perSecond * STEP / 1000);
         }
@@ -53,14 +53,14 @@
         return perSecond < Double.POSITIVE_INFINITY;
     }
 
-    Optional<Long> nearLoad(ModelId model) {
+    Optional<Long> localLoadMillis(ModelId model) {
         if (memory.contains(model)) {
             return Optional.of(FROM_MEMORY);
         }
         return disk.contains(model) ? Optional.of(FROM_DISK) : Optional.empty();
     }
 
-    void keep(ModelId model) {
+    void cacheWeights(ModelId model) {
         touch(memory, model, IN_MEMORY);
         touch(disk, model, ON_DISK);
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/KeeperFixture.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ResidencyManagerFixture.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /** A keeper of engines that may hold two of three models, and the orders that it gives. */
-abstract class KeeperFixture {
+abstract class ResidencyManagerFixture {
 
     static final long MILLI = Duration.ofMillis(1).toNanos();
 
-    final ResidencyKeeper keeper =
-            new ResidencyKeeper(
+    final ResidencyManager manager =
+            new ResidencyManager(
                     PlacementPolicy.of(PolicyName.NEAREST_COPY),
                     Duration.ofSeconds(5),
                     Duration.ofMillis(1200));
@@ -42,11 +42,11 @@
                             Duration.ofMillis(800)));
         }
         EngineSpec spec = new EngineSpec(4, 1000, 203, 2, 1.4, 200, 600, EngineSpec.byName(models));
-        keeper.specs(Map.of(SERVICE, spec));
+        manager.setSpecs(Map.of(SERVICE, spec));
     }
 
-    void waitsFor(String model) {
-        keeper.demanded(
+    void requestsWaitFor(String model) {
+        manager.recordDemand(
                 new HostId("h"), Map.of(new ModelId(model), 3), Map.of(new ModelId(model), 3), now);
     }
 
@@ -57,8 +57,8 @@
     }
 
     List<EngineOrder> orders() {
-        pass(100);
-        return sent(keeper.step(now));
+        advanceMillis(100);
+        return sent(manager.step(now));
     }
 
     static List<EngineOrder> sent(List<ResidencyEffect> effects) {
@@ -71,7 +71,7 @@
         return sent;
     }
 
-    void pass(long millis) {
+    void advanceMillis(long millis) {
         now += millis * MILLI;
     }
 }
--- /dev/null
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ResidencyManagerTest.java
@@ -0,0 +1,362 @@
+package io.stackhall.core.residency;
+
+import static io.stackhall.core.fleet.Instances.elsewhere;
+import static io.stackhall.core.fleet.Instances.instance;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.stackhall.core.fleet.EvacuatedZones;
+import io.stackhall.core.fleet.ModelCopy;
+import io.stackhall.core.id.HostId;
+import io.stackhall.core.id.ModelId;
+import io.stackhall.core.id.UpstreamId;
+import io.stackhall.core.id.ZoneId;
+import java.time.Duration;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** Orders to engines that count them, whose answers may be lost. */
+class ResidencyManagerTest extends ResidencyManagerFixture {
+
+    private static final UpstreamId ENGINE = new UpstreamId("e");
+
+    @BeforeEach
+    void knowOneEngine() {
+        manager.updateInstances(List.of(instance("e", 1, "a")), now);
+    }
+
+    @Test
+    void orderFollowsTheEnginesOwnCount() {
+        count(7, false);
+        requestsWaitFor("b");
+        EngineOrder order = onlyOrder();
+        assertThat(order.load()).isTrue();
+        assertThat(order.model().value()).isEqualTo("b");
+        assertThat(order.expectedTaken()).isEqualTo(7);
+    }
+
+    @Test
+    void lostAnswerIsAskedForByTheSameOrder() {
+        count(7, false);
+        requestsWaitFor("b");
+        EngineOrder order = onlyOrder();
+        manager.onAnswer(order, EngineAnswer.UNKNOWN, now);
+        advanceMillis(400);
+        assertThat(onlyOrder()).isEqualTo(order);
+    }
+
+    @Test
+    void modelsOfAnEvacuatedZoneAreLoadedInAnotherOne() {
+        manager.updateInstances(List.of(instance("e", 1, "a"), elsewhere("yoff", "other", 1)), now);
+        manager.step(now);
+        manager.onReport(ENGINE, new EngineReport(0, 4, false, List.of()), now);
+        manager.onReport(new UpstreamId("other"), new EngineReport(0, 4, false, List.of()), now);
+        manager.setEvacuatedZones(EvacuatedZones.none().with(new ZoneId("plateau")));
+        requestsWaitFor("a");
+        EngineOrder order = onlyOrder();
+        assertThat(order.instance().value()).isEqualTo("other");
+        assertThat(order.model()).isEqualTo(new ModelId("a"));
+    }
+
+    @Test
+    void loadThatWasCarriedOutThoughItsAnswerWasLostStaysCharged() {
+        count(7, false);
+        requestsWaitFor("b");
+        EngineOrder order = onlyOrder();
+        manager.onAnswer(order, EngineAnswer.UNKNOWN, now);
+        advanceMillis(400);
+        onlyOrder();
+        manager.onAnswer(order, EngineAnswer.CONFLICT, now);
+        advanceMillis(500);
+        requestsWaitFor("c");
+        count(8, true);
+        advanceMillis(500);
+        requestsWaitFor("c");
+        count(8, false);
+        advanceMillis(100);
+        assertThat(orders()).noneMatch(sent -> sent.load() && sent.adapter().isEmpty());
+    }
+
+    @Test
+    void adapterWaitsWhileItsEngineLoadsAModel() {
+        count(0, false);
+        requestsWaitFor("b");
+        EngineOrder order = onlyOrder();
+        manager.onAnswer(order, EngineAnswer.TAKEN, now);
+        manager.requestAdapter(ENGINE, new ModelId("a"), "a1", now);
+        assertThat(orders()).isEmpty();
+        manager.updateInstances(List.of(instance("e", 2, "a", "b")), now);
+        EngineOrder adapter = onlyOrder();
+        assertThat(adapter.adapter()).contains("a1");
+        assertThat(adapter.expectedTaken()).isEqualTo(1);
+    }
+
+    @Test
+    void adapterIsOrderedOnAnotherEngineWhileTheOneAskedForIsBusy() {
+        count(0, false);
+        requestsWaitFor("b");
+        manager.onAnswer(onlyOrder(), EngineAnswer.TAKEN, now);
+        manager.updateInstances(List.of(instance("e", 1, "a"), instance("other", 1, "a")), now);
+        manager.step(now);
+        EngineReport report = new EngineReport(0, 4, false, List.of());
+        manager.onReport(new UpstreamId("other"), report, now);
+        manager.requestAdapter(ENGINE, new ModelId("a"), "a1", now);
+        EngineOrder adapter = onlyOrder();
+        assertThat(adapter.instance().value()).isEqualTo("other");
+        assertThat(adapter.expectedTaken()).isEqualTo(4);
+    }
+
+    @Test
+    void adaptersThatNoHeartbeatHasToldOfStillTakeSlots() {
+        count(0, false);
+        for (String adapter : List.of("a1", "a2")) {
+            manager.requestAdapter(ENGINE, new ModelId("a"), adapter, now);
+            manager.onAnswer(onlyOrder(), EngineAnswer.TAKEN, now);
+        }
+        advanceMillis(60_000);
+        manager.requestAdapter(ENGINE, new ModelId("a"), "a3", now);
+        assertThat(onlyOrder().load()).isFalse();
+    }
+
+    @Test
+    void adaptersTakeSlotsThoughAHeartbeatFromBeforeIsNewerByFar() {
+        ModelCopy copy = new ModelCopy(new ModelId("a"), 1, Set.of("a1"));
+        manager.step(now);
+        manager.onReport(ENGINE, new EngineReport(0, 5, false, List.of(copy)), now);
+        manager.requestAdapter(ENGINE, new ModelId("a"), "a2", now);
+        manager.onAnswer(onlyOrder(), EngineAnswer.TAKEN, now);
+        manager.updateInstances(List.of(instance("e", 9, "a")), now);
+        manager.requestAdapter(ENGINE, new ModelId("a"), "a3", now);
+        assertThat(onlyOrder().load()).isFalse();
+    }
+
+    @Test
+    void modelOfTheAccountIsChargedThoughAHeartbeatFromBeforeIsNewerByFar() {
+        manager.updateInstances(List.of(instance("e", 1, "a")), now);
+        ModelCopy a = new ModelCopy(new ModelId("a"), 1, Set.of());
+        ModelCopy c = new ModelCopy(new ModelId("c"), 1, Set.of());
+        manager.step(now);
+        manager.onReport(ENGINE, new EngineReport(0, 5, false, List.of(a, c)), now);
+        manager.updateInstances(List.of(instance("e", 9, "a")), now);
+        requestsWaitFor("b");
+        assertThat(orders()).noneMatch(EngineOrder::load);
+    }
+
+    @Test
+    void adaptersThatAPredecessorOrderedTakeSlotsThoughNoHeartbeatTells() {
+        ModelCopy copy = new ModelCopy(new ModelId("a"), 1, Set.of("a1", "a2"));
+        manager.step(now);
+        manager.onReport(ENGINE, new EngineReport(0, 2, false, List.of(copy)), now);
+        manager.requestAdapter(ENGINE, new ModelId("a"), "a3", now);
+        assertThat(onlyOrder().load()).isFalse();
+    }
+
+    @Test
+    void unloadThatIsDoneAtOnceCountsAsTaken() {
+        count(3, false);
+        for (String adapter : List.of("a1", "a2")) {
+            manager.requestAdapter(ENGINE, new ModelId("a"), adapter, now);
+            manager.onAnswer(onlyOrder(), EngineAnswer.TAKEN, now);
+            advanceMillis(10);
+        }
+        manager.requestAdapter(ENGINE, new ModelId("a"), "a3", now);
+        List<EngineOrder> next = sent(manager.onAnswer(onlyOrder(), EngineAnswer.HOLDS, now));
+        assertThat(next).singleElement().matches(order -> order.expectedTaken() == 6);
+    }
+
+    @Test
+    void adapterSlotsAreFreedBeforeTheyAreFilled() {
+        count(0, false);
+        for (String adapter : List.of("a1", "a2")) {
+            manager.requestAdapter(ENGINE, new ModelId("a"), adapter, now);
+            manager.onAnswer(onlyOrder(), EngineAnswer.TAKEN, now);
+            advanceMillis(10);
+        }
+        manager.requestAdapter(ENGINE, new ModelId("a"), "a3", now);
+        EngineOrder first = onlyOrder();
+        assertThat(first.load()).isFalse();
+        assertThat(first.adapter()).contains("a1");
+        assertThat(sent(manager.onAnswer(first, EngineAnswer.HOLDS, now)))
+                .singleElement()
+                .matches(order -> order.adapter().equals(Optional.of("a3")));
+    }
+
+    @Test
+    void adapterThatIsStillInUseTakesItsSlotUntilTheEngineSaysThatItIsGone() {
+        count(0, false);
+        for (String adapter : List.of("a1", "a2")) {
+            manager.requestAdapter(ENGINE, new ModelId("a"), adapter, now);
+            manager.onAnswer(onlyOrder(), EngineAnswer.TAKEN, now);
+            advanceMillis(10);
+        }
+        manager.requestAdapter(ENGINE, new ModelId("a"), "a3", now);
+        assertThat(sent(manager.onAnswer(onlyOrder(), EngineAnswer.TAKEN, now))).isEmpty();
+        advanceMillis(500);
+        accountsFor("a1", "a2");
+        assertThat(orders()).isEmpty();
+        advanceMillis(500);
+        accountsFor("a2");
+        assertThat(onlyOrder().adapter()).contains("a3");
+    }
+
+    @Test
+    void engineThatIsGoneHoldsNothingAnyMore() {
+        manager.updateInstances(
+                List.of(instance("e", 1, "a", "c"), instance("other", 1, "b")), now);
+        count(0, false);
+        manager.onReport(new UpstreamId("other"), new EngineReport(0, 0, false, List.of()), now);
+        requestsWaitFor("b");
+        assertThat(orders()).isEmpty();
+        manager.updateInstances(List.of(instance("e", 2, "a", "c")), now);
+        requestsWaitFor("b");
+        assertThat(onlyOrder().load()).as("room is made for it").isFalse();
+    }
+
+    @Test
+    void loadsFromTheStoreStayWithinItsWindow() {
+        StoreLoadLimiter window = new StoreLoadLimiter(Duration.ofSeconds(5));
+        window.setRate(1.4);
+        assertThat(window.availableLoads(now)).isEqualTo(7);
+        window.recordLoad(now);
+        assertThat(window.availableLoads(now)).isEqualTo(6);
+        window.exhaust(now);
+        assertThat(window.availableLoads(now)).isZero();
+        assertThat(window.availableLoads(now + Duration.ofSeconds(6).toNanos())).isEqualTo(7);
+    }
+
+    @Test
+    void roomIsFilledByWhatItWasMadeFor() {
+        manager.updateInstances(List.of(instance("e", 1, "a", "c")), now);
+        count(0, false);
+        requestsWaitFor("b");
+        EngineOrder room = onlyOrder();
+        assertThat(room.load()).isFalse();
+        manager.onAnswer(room, EngineAnswer.TAKEN, now);
+        manager.updateInstances(
+                List.of(instance("e", 2, room.model().value().equals("a") ? "c" : "a")), now);
+        assertThat(onlyOrder()).matches(order -> order.load() && order.model().value().equals("b"));
+    }
+
+    @Test
+    void unloadedModelIsNotChargedByAnAccountFromBefore() {
+        manager.updateInstances(List.of(instance("e", 1, "a", "c")), now);
+        ModelCopy a = new ModelCopy(new ModelId("a"), 1, Set.of());
+        ModelCopy c = new ModelCopy(new ModelId("c"), 1, Set.of());
+        manager.step(now);
+        manager.onReport(ENGINE, new EngineReport(0, 0, false, List.of(a, c)), now);
+        requestsWaitFor("b");
+        EngineOrder room = onlyOrder();
+        manager.onAnswer(room, EngineAnswer.TAKEN, now);
+        manager.updateInstances(
+                List.of(instance("e", 2, room.model().value().equals("a") ? "c" : "a")), now);
+        assertThat(onlyOrder()).matches(EngineOrder::load);
+    }
+
+    @Test
+    void engineWhoseAddressAnotherHasTakenIsLeftAloneUntilItSpeaks() {
+        count(0, false);
+        requestsWaitFor("b");
+        manager.onAnswer(onlyOrder(), EngineAnswer.OTHER_INSTANCE, now);
+        for (int i = 0; i < 20; i++) {
+            advanceMillis(500);
+            assertThat(manager.step(now)).isEmpty();
+        }
+        manager.updateInstances(List.of(instance("e", 2, "a")), now);
+        assertThat(manager.step(now))
+                .anyMatch(effect -> effect instanceof ResidencyEffect.ReadReport);
+    }
+
+    @Test
+    void modelsOfAnEngineThatHasCrashedAreLoadedElsewhereAfterOneHeartbeat() {
+        manager.updateInstances(
+                List.of(instance("e", 1, "a", "c"), instance("other", 1, "b")), now);
+        count(0, false);
+        manager.onReport(new UpstreamId("other"), new EngineReport(0, 0, false, List.of()), now);
+        manager.recordConnectFailure(new UpstreamId("other"), new HostId("h"), true);
+        requestsWaitFor("b");
+        assertThat(orders()).as("its heartbeat may still come").isEmpty();
+        advanceMillis(1500);
+        manager.updateInstances(
+                List.of(instance("e", 2, "a", "c"), instance("other", 1, "b")), now);
+        requestsWaitFor("b");
+        assertThat(onlyOrder().load()).as("room is made for it").isFalse();
+    }
+
+    @Test
+    void heartbeatThatComesBeforeTheAnswerToAnUnloadStillEndsIt() {
+        manager.updateInstances(List.of(instance("e", 1, "a", "c")), now);
+        count(0, false);
+        requestsWaitFor("b");
+        EngineOrder room = onlyOrder();
+        String left = room.model().value().equals("a") ? "c" : "a";
+        manager.updateInstances(List.of(instance("e", 2, left)), now);
+        manager.onAnswer(room, EngineAnswer.TAKEN, now);
+        manager.updateInstances(List.of(instance("e", 2, left)), now);
+        assertThat(onlyOrder()).matches(order -> order.load() && order.model().value().equals("b"));
+    }
+
+    @Test
+    void modelThatTheEngineSaysItHoldsIsNotOrderedAgain() {
+        count(7, false);
+        requestsWaitFor("b");
+        EngineOrder order = onlyOrder();
+        manager.onAnswer(order, EngineAnswer.HOLDS, now);
+        requestsWaitFor("b");
+        advanceMillis(300);
+        assertThat(orders()).noneMatch(next -> next.load() && next.model().equals(order.model()));
+    }
+
+    @Test
+    void engineThatHoldsNothingIsMissedAsWell() {
+        manager.updateInstances(List.of(instance("e", 1, "a", "c"), instance("empty", 1)), now);
+        count(0, false);
+        manager.onReport(new UpstreamId("empty"), new EngineReport(0, 0, false, List.of()), now);
+        manager.recordConnectFailure(new UpstreamId("empty"), new HostId("h"), true);
+        for (int tick = 0; tick < 40; tick++) {
+            advanceMillis(50);
+            manager.updateInstances(List.of(instance("e", 2, "a", "c"), instance("empty", 1)), now);
+        }
+        requestsWaitFor("b");
+        assertThat(orders()).noneMatch(order -> order.instance().value().equals("empty"));
+    }
+
+    @Test
+    void engineThatRefusesAConnectionAndGoesOnReportingIsCountedOn() {
+        manager.updateInstances(
+                List.of(instance("e", 1, "a", "c"), instance("other", 1, "b")), now);
+        count(0, false);
+        manager.onReport(new UpstreamId("other"), new EngineReport(0, 0, false, List.of()), now);
+        manager.recordConnectFailure(new UpstreamId("other"), new HostId("h"), true);
+        advanceMillis(1500);
+        manager.updateInstances(
+                List.of(instance("e", 2, "a", "c"), instance("other", 2, "b")), now);
+        advanceMillis(300);
+        manager.updateInstances(
+                List.of(instance("e", 2, "a", "c"), instance("other", 2, "b")), now);
+        requestsWaitFor("b");
+        assertThat(orders()).isEmpty();
+    }
+
+    @Test
+    void nothingIsMovedBeforeTheFirstHeartbeatsOfAllEnginesHaveCome() {
+        manager.restart(false, now);
+        manager.updateInstances(List.of(instance("e", 1, "a", "c")), now);
+        count(0, false);
+        assertThat(orders()).isEmpty();
+        advanceMillis(3000);
+        assertThat(orders()).isNotEmpty();
+    }
+
+    private void accountsFor(String... adapters) {
+        manager.step(now);
+        ModelCopy copy = new ModelCopy(new ModelId("a"), 1, Set.of(adapters));
+        manager.onReport(ENGINE, new EngineReport(0, 3, false, List.of(copy)), now);
+    }
+
+    private void count(long taken, boolean busy) {
+        manager.step(now);
+        manager.onReport(ENGINE, new EngineReport(0, taken, busy, List.of()), now);
+    }
+}
--- a/stackhall-server/src/main/java/io/stackhall/server/control/OrderGiver.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/OrderGiver.java
@@ -14,7 +14,7 @@
 import io.stackhall.core.residency.EngineReport;
 import io.stackhall.core.residency.OrderHandover;
 import io.stackhall.core.residency.ResidencyEffect;
-import io.stackhall.core.residency.ResidencyKeeper;
+import io.stackhall.core.residency.ResidencyManager;
 import io.stackhall.core.route.EngineSpec;
 import io.stackhall.core.route.RouteTable;
 import io.stackhall.platform.Calls;
@@ -63,7 +63,7 @@
     private final FleetKeeper fleet;
     private final LimitDesk limits;
     private final EngineCalls calls;
-    private final ResidencyKeeper keeper;
+    private final ResidencyManager keeper;
     private long routesVersion = -1;
     private boolean leading;
     private boolean taken;
@@ -89,7 +89,7 @@
                         settings.limits().fenceChecked(),
                         settings.limits().orderPause().plus(PAUSE_MARGIN));
         this.keeper =
-                new ResidencyKeeper(
+                new ResidencyManager(
                         PlacementPolicy.of(PolicyName.NEAREST_COPY),
                         settings.limits().storeWindow(),
                         settings.limits().heartbeat());
@@ -111,7 +111,7 @@
 
     /** Takes over in which zones engines serve nobody. */
     void evacuated(EvacuatedZones zones) {
-        keeper.evacuated(zones);
+        keeper.setEvacuatedZones(zones);
     }
 
     /** Does what is due. */
@@ -121,8 +121,8 @@
         }
         takeRoutes();
         long now = BootClock.nanos();
-        keeper.known(fleet.instances(), now);
-        keeper.limited(limits.limited());
+        keeper.updateInstances(fleet.instances(), now);
+        keeper.setLimitedEngines(limits.limited());
         carryOut(keeper.step(now));
     }
 
@@ -137,15 +137,16 @@
             arrivals.merge(new ModelId(model), count.getArrivals(), Integer::sum);
             waiting.merge(new ModelId(model), count.getWaiting(), Integer::sum);
             if (slash >= 0 && count.getArrivals() > 0) {
-                keeper.adapterUsed(new ModelId(model), count.getModel().substring(slash + 1), now);
+                keeper.recordAdapterUse(
+                        new ModelId(model), count.getModel().substring(slash + 1), now);
             }
         }
-        keeper.demanded(new HostId(report.getHost()), arrivals, waiting, now);
+        keeper.recordDemand(new HostId(report.getHost()), arrivals, waiting, now);
     }
 
     /** Takes in what an entry host says of its work at instances. */
     void worked(Map<UpstreamId, InstanceWork> work) {
-        keeper.worked(work, BootClock.nanos());
+        keeper.recordWork(work, BootClock.nanos());
     }
 
     /** Takes in that an entry host cannot connect to an instance. */
@@ -155,7 +156,7 @@
                 told.getInstance(),
                 told.getHost(),
                 told.getRefused());
-        keeper.unreachable(
+        keeper.recordConnectFailure(
                 UpstreamId.parse(told.getInstance()),
                 new HostId(told.getHost()),
                 told.getRefused());
@@ -171,7 +172,7 @@
         @Override
         public void wantsRest(UpstreamId id, Duration time) {
             logger.info("upstream.rest-heard id={} restMs={}", id, time.toMillis());
-            keeper.wantsRest(id, time, BootClock.nanos());
+            keeper.recordRest(id, time, BootClock.nanos());
         }
 
         @Override
@@ -181,14 +182,14 @@
 
         @Override
         public void unreachable(UpstreamId id, boolean refused) {
-            keeper.unreachable(id, settings.peerName(), refused);
+            keeper.recordConnectFailure(id, settings.peerName(), refused);
         }
     }
 
     /** Takes in that requests wait for an adapter. */
     void wanted(AdapterWanted wanted) {
         if (active()) {
-            keeper.adapterWanted(
+            keeper.requestAdapter(
                     UpstreamId.parse(wanted.getInstance()),
                     new ModelId(wanted.getModel()),
                     wanted.getAdapter(),
@@ -201,7 +202,7 @@
         if (!leading || !taken || !group.leads()) {
             return false;
         }
-        if (!begun && handover.mayBegin(knownOfPredecessor(), electedAt, BootClock.nanos())) {
+        if (!begun && handover.mayIssueOrders(knownOfPredecessor(), electedAt, BootClock.nanos())) {
             begun = true;
             logger.info("orders.begin fence={} predecessor={}", fence, knownOfPredecessor());
         }
@@ -260,7 +261,7 @@
                         service ->
                                 service.engine()
                                         .ifPresent(engine -> specs.put(service.name(), engine)));
-        keeper.specs(specs);
+        keeper.setSpecs(specs);
     }
 
     private void carryOut(List<ResidencyEffect> effects) {
@@ -268,8 +269,8 @@
             switch (effect) {
                 case ResidencyEffect.Send(EngineOrder order) -> send(order);
                 case ResidencyEffect.ReadReport(UpstreamId id, String address) -> read(id, address);
-                case ResidencyEffect.Tell tell -> tell(tell);
-                case ResidencyEffect.TellComing(UpstreamId id, ModelId model, Duration within) ->
+                case ResidencyEffect.NotifyResidency tell -> tell(tell);
+                case ResidencyEffect.NotifyLoading(UpstreamId id, ModelId model, Duration within) ->
                         fleet.residency(
                                 ResidencyChange.newBuilder()
                                         .setInstance(id.toString())
@@ -280,7 +281,7 @@
         }
     }
 
-    private void tell(ResidencyEffect.Tell tell) {
+    private void tell(ResidencyEffect.NotifyResidency tell) {
         ResidencyChange change =
                 ResidencyChange.newBuilder()
                         .setInstance(tell.instance().toString())
@@ -331,7 +332,7 @@
                 status.orElse(0),
                 answer);
         if (active()) {
-            carryOut(keeper.answered(order, answer, BootClock.nanos()));
+            carryOut(keeper.onAnswer(order, answer, BootClock.nanos()));
         }
     }
 
@@ -347,10 +348,10 @@
                         : Either.left(new Finding("report", "status " + status));
         if (report.isLeft()) {
             logger.info("report.unread instance={} {}", id, report.getLeft());
-            keeper.readFailed(id, now);
+            keeper.onReportFailed(id, now);
             return;
         }
-        keeper.read(id, report.get(), now);
+        keeper.onReport(id, report.get(), now);
         logger.info(
                 "report.read instance={} ordersTaken={} busy={}",
                 id,
