--- a/stackhall-core/src/main/java/io/stackhall/core/fleet/Instance.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/fleet/Instance.java
@@ -57,7 +57,7 @@
     }
 
     /** Returns whether the weights of a model are at hand without the weight store. */
-    public boolean hasCopyAtHand(ModelId model) {
+    public boolean hasLocalWeights(ModelId model) {
         return inHostMemory.contains(model) || onDisk.contains(model);
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/fleet/InstanceTable.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/fleet/InstanceTable.java
@@ -148,7 +148,7 @@
     }
 
     /** Counts all as just heard: what was silent may have been this host itself. */
-    public void refresh(long now) {
+    public void restartSilenceTimers(long now) {
         heardAt.replaceAll((id, at) -> now);
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/fleet/PrimaryChoice.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/fleet/PrimarySelector.java
@@ -19,7 +19,7 @@
  *
  * <p>Not thread-safe: one thread uses it.
  */
-public final class PrimaryChoice {
+public final class PrimarySelector {
 
     /** An election takes about a second; asked sooner, the host would only decline again. */
     private static final long DECLINED_NANOS = Duration.ofSeconds(2).toNanos();
@@ -32,13 +32,13 @@
     private final Map<HostId, Long> declinedAt = new HashMap<>();
 
     /** Creates the choice of one entry host. */
-    public PrimaryChoice(HostId self, ZoneId zone) {
+    public PrimarySelector(HostId self, ZoneId zone) {
         this.self = self;
         this.zone = zone;
     }
 
     /** Notes that a control host knows of no leader, so that what it tells may be old. */
-    public void declined(HostId host, long now) {
+    public void recordDecline(HostId host, long now) {
         declinedAt.put(host, now);
     }
 
@@ -48,7 +48,7 @@
      *
      * @param connected the hosts and the zones in which they stand
      */
-    public Optional<HostId> among(Map<HostId, ZoneId> connected, long now) {
+    public Optional<HostId> select(Map<HostId, ZoneId> connected, long now) {
         declinedAt.values().removeIf(at -> now - at >= DECLINED_NANOS);
         return connected.keySet().stream()
                 .min(
--- a/stackhall-core/src/main/java/io/stackhall/core/fleet/InstanceNews.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/fleet/UpdateUrgency.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /** How soon entry hosts have to hear of what an instance newly says of itself. */
-public enum InstanceNews {
+public enum UpdateUrgency {
     /** It comes, goes, drains, moves, turns cold or serves a further model: at once. */
     URGENT,
     /** What it holds has changed, of which orders have told: with other changes. */
-    SOON,
+    BATCHED,
     /** Nothing that matters to anybody. */
     NONE;
 
@@ -17,11 +17,11 @@
      * @param before the one before, if there was any
      * @param after the new one, maybe of a later life
      */
-    public static InstanceNews of(Optional<Instance> before, Instance after) {
+    public static UpdateUrgency of(Optional<Instance> before, Instance after) {
         if (before.isEmpty() || isUrgent(before.get(), after)) {
             return URGENT;
         }
-        return differs(before.get(), after) ? SOON : NONE;
+        return differs(before.get(), after) ? BATCHED : NONE;
     }
 
     private static boolean isUrgent(Instance before, Instance after) {
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyManager.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyManager.java
@@ -308,7 +308,7 @@
 
     private Optional<EngineOrder> modelLoad(
             EngineTracker engine, EngineSpec spec, ModelId model, long now) {
-        boolean fromStore = !engine.instance().hasCopyAtHand(model);
+        boolean fromStore = !engine.instance().hasLocalWeights(model);
         Optional<ModelWeights> weights = spec.model(model);
         boolean fits = weights.isPresent() && weights.get().weightsMb() <= engine.freeMb(spec);
         boolean held = engine.instance().copyOf(model).isPresent();
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/ColdReturnReplay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/ColdReturnReplay.java
@@ -29,7 +29,7 @@
 
     ColdReturnReplay(long seed, int hostCount) {
         random = new Random(seed);
-        Instance instance = Instances.cold("cold", Duration.ofMillis(COLD_FOR));
+        Instance instance = Instances.coldInstance("cold", Duration.ofMillis(COLD_FOR));
         for (int count = 0; count < hostCount; count++) {
             ColdShare share = new ColdShare(new Random(random.nextLong()));
             share.shared(hostCount);
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/ColdShareTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/ColdShareTest.java
@@ -48,7 +48,7 @@
     @Test
     void hostThatDoesNotKnowHowManyThereAreSendsNothing() {
         ColdShare share = new ColdShare(new Random(1));
-        share.reported(Instances.cold("cold", Duration.ofSeconds(3)));
+        share.reported(Instances.coldInstance("cold", Duration.ofSeconds(3)));
         assertThat(share.allows(COLD, BEARS_PER_SECOND, 0)).isFalse();
         assertThat(share.allows(COLD, 0, 0)).isTrue();
     }
@@ -56,10 +56,10 @@
     @Test
     void instanceThatIsWarmAgainGetsWhateverComes() {
         ColdShare share = new ColdShare(new Random(1));
-        share.reported(Instances.cold("cold", Duration.ofSeconds(3)));
+        share.reported(Instances.coldInstance("cold", Duration.ofSeconds(3)));
         assertThat(share.allows(COLD, BEARS_PER_SECOND, 0)).isFalse();
         assertThat(share.allows(COLD, BEARS_PER_SECOND, Duration.ofSeconds(3).toNanos())).isTrue();
-        share.reported(Instances.cold("cold", Duration.ZERO));
+        share.reported(Instances.coldInstance("cold", Duration.ZERO));
         assertThat(share.allows(COLD, BEARS_PER_SECOND, 1)).isTrue();
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/DispatcherTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/DispatcherTest.java
@@ -1,9 +1,9 @@
 package io.stackhall.core.dispatch;
 
 import static io.stackhall.core.fleet.Instances.SERVICE;
-import static io.stackhall.core.fleet.Instances.elsewhere;
+import static io.stackhall.core.fleet.Instances.incarnation;
 import static io.stackhall.core.fleet.Instances.instance;
-import static io.stackhall.core.fleet.Instances.life;
+import static io.stackhall.core.fleet.Instances.instanceInZone;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.stackhall.core.fleet.EvacuatedZones;
@@ -54,11 +54,11 @@
 
     @Test
     void upstreamThatStartsAgainHasNoWorkOfBefore() {
-        dispatcher.changed(life("a", 100, 9, "m"));
+        dispatcher.changed(incarnation("a", 100, 9, "m"));
         UpstreamId earlier = new UpstreamId("a", 100);
         Sending sending = dispatcher.began(earlier, need(Optional.empty()), NOW);
-        dispatcher.changed(life("a", 100, 9, "m").withState(InstanceState.GONE));
-        dispatcher.changed(life("a", 200, 1, "m"));
+        dispatcher.changed(incarnation("a", 100, 9, "m").withState(InstanceState.GONE));
+        dispatcher.changed(incarnation("a", 200, 1, "m"));
         dispatcher.ended(sending, NOW);
         assertThat(dispatcher.occupancy(new UpstreamId("a", 200), NOW)).isZero();
         assertThat(dispatcher.takeWork()).isEmpty();
@@ -76,12 +76,12 @@
     void instancesOfAnEvacuatedZoneGetNothingUntilThatIsTakenBack() {
         EvacuatedZones evacuated = EvacuatedZones.none().with(new ZoneId("plateau"));
         dispatcher.changed(instance("a", 1, "m"));
-        dispatcher.changed(elsewhere("yoff", "bb", 1, "m"));
+        dispatcher.changed(instanceInZone("yoff", "bb", 1, "m"));
         dispatcher.evacuated(evacuated);
         for (int count = 0; count < 20; count++) {
             assertThat(sentTo(need(Optional.empty()))).contains("bb");
         }
-        dispatcher.changed(elsewhere("yoff", "bb", 2, "m").withState(InstanceState.GONE));
+        dispatcher.changed(instanceInZone("yoff", "bb", 2, "m").withState(InstanceState.GONE));
         assertThat(sentTo(need(Optional.empty()))).isEmpty();
         dispatcher.evacuated(evacuated.without(new ZoneId("plateau")));
         assertThat(sentTo(need(Optional.empty()))).contains("a");
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/RestingDispatchTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/RestingDispatchTest.java
@@ -1,7 +1,7 @@
 package io.stackhall.core.dispatch;
 
 import static io.stackhall.core.fleet.Instances.SERVICE;
-import static io.stackhall.core.fleet.Instances.cold;
+import static io.stackhall.core.fleet.Instances.coldInstance;
 import static io.stackhall.core.fleet.Instances.instance;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -101,7 +101,7 @@
     void requestWaitsForItsTurnAtAColdInstanceWhileTheOtherRests() {
         dispatcher.coldPerSecond(Map.of(SERVICE, 0.5));
         dispatcher.shared(50);
-        dispatcher.changed(cold("cc", Duration.ofSeconds(20)));
+        dispatcher.changed(coldInstance("cc", Duration.ofSeconds(20)));
         Need plain = new Need(SERVICE, Optional.empty(), Optional.empty(), List.of(), 0, 0, 1);
         Choice choice = dispatcher.choose(plain, id -> true, false, NOW);
         assertThat(patient(Duration.ofSeconds(1)).judge(choice, 0, NOW))
--- a/stackhall-core/src/test/java/io/stackhall/core/fleet/InstanceTableTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/fleet/InstanceTableTest.java
@@ -1,7 +1,7 @@
 package io.stackhall.core.fleet;
 
+import static io.stackhall.core.fleet.Instances.incarnation;
 import static io.stackhall.core.fleet.Instances.instance;
-import static io.stackhall.core.fleet.Instances.life;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.stackhall.core.id.UpstreamId;
@@ -97,8 +97,8 @@
 
     @Test
     void upstreamThatStartsAgainUnderItsNameBeginsANewLife() {
-        table.merge(life("a", 100, 90, "old"), 0);
-        assertThat(table.merge(life("a", 200, 1), SECOND))
+        table.merge(incarnation("a", 100, 90, "old"), 0);
+        assertThat(table.merge(incarnation("a", 200, 1), SECOND))
                 .extracting(Instance::state)
                 .containsExactly(InstanceState.GONE, InstanceState.READY);
         assertThat(table.find(new UpstreamId("a", 200)).orElseThrow().models()).isEmpty();
@@ -107,40 +107,40 @@
 
     @Test
     void lateHeartbeatOfAnEarlierLifeChangesNothing() {
-        table.merge(life("a", 100, 90), 0);
-        table.merge(life("a", 200, 1), SECOND);
-        assertThat(table.merge(life("a", 100, 91), 60 * SECOND)).isEmpty();
+        table.merge(incarnation("a", 100, 90), 0);
+        table.merge(incarnation("a", 200, 1), SECOND);
+        assertThat(table.merge(incarnation("a", 100, 91), 60 * SECOND)).isEmpty();
         assertThat(table.all()).extracting(Instance::id).containsExactly(new UpstreamId("a", 200));
     }
 
     @Test
     void drainingOfAnEarlierLifeDoesNotBindTheNext() {
-        table.merge(life("a", 100, 90).withState(InstanceState.DRAINING), 0);
-        table.merge(life("a", 200, 1), SECOND);
+        table.merge(incarnation("a", 100, 90).withState(InstanceState.DRAINING), 0);
+        table.merge(incarnation("a", 200, 1), SECOND);
         assertThat(table.find(new UpstreamId("a", 200)).orElseThrow().state())
                 .isEqualTo(InstanceState.READY);
     }
 
     @Test
     void lifeThatEndedComesBackOnlyAsALaterOne() {
-        table.merge(life("a", 100, 90), 0);
+        table.merge(incarnation("a", 100, 90), 0);
         table.remove(new UpstreamId("a"));
-        assertThat(table.merge(life("a", 100, 91), SECOND)).isEmpty();
-        assertThat(table.merge(life("a", 200, 1), SECOND)).hasSize(1);
+        assertThat(table.merge(incarnation("a", 100, 91), SECOND)).isEmpty();
+        assertThat(table.merge(incarnation("a", 200, 1), SECOND)).hasSize(1);
     }
 
     @Test
     void lateWordThatAnEarlierLifeEndsDoesNotEndTheNext() {
-        table.merge(life("a", 200, 1), 0);
+        table.merge(incarnation("a", 200, 1), 0);
         assertThat(table.remove(new UpstreamId("a", 100))).isEmpty();
         assertThat(table.find(new UpstreamId("a", 200))).isPresent();
     }
 
     @Test
     void startOnAClockThatSteppedBackIsTakenOnceTheLifeBeforeIsNotHeardAnyMore() {
-        table.merge(life("a", 200, 90), 0);
-        assertThat(table.merge(life("a", 150, 1), SECOND)).isEmpty();
-        assertThat(table.merge(life("a", 150, 3), 3 * SECOND)).hasSize(2);
+        table.merge(incarnation("a", 200, 90), 0);
+        assertThat(table.merge(incarnation("a", 150, 1), SECOND)).isEmpty();
+        assertThat(table.merge(incarnation("a", 150, 3), 3 * SECOND)).hasSize(2);
         assertThat(table.all()).extracting(Instance::id).containsExactly(new UpstreamId("a", 150));
     }
 
@@ -152,7 +152,7 @@
         for (int number = 0; number < 20; number++) {
             long born = 100L + random.nextInt(5);
             latest = Math.max(latest, born);
-            Instance report = life("a", born, 1 + random.nextInt(6));
+            Instance report = incarnation("a", born, 1 + random.nextInt(6));
             lives.merge(
                     random.nextInt(4) == 0 ? report.withState(InstanceState.DRAINING) : report, 0);
             UpstreamId expected = new UpstreamId("a", latest);
@@ -169,7 +169,8 @@
             boolean tells = random.nextBoolean();
             Instance report =
                     tells
-                            ? life(name + "t", 100L + random.nextInt(2), 1 + random.nextInt(6))
+                            ? incarnation(
+                                    name + "t", 100L + random.nextInt(2), 1 + random.nextInt(6))
                             : instance(name, 1 + random.nextInt(6));
             int kind = random.nextInt(8);
             reports.add(
--- a/stackhall-core/src/test/java/io/stackhall/core/fleet/Instances.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/fleet/Instances.java
@@ -23,19 +23,20 @@
     }
 
     /** Returns an instance that stays slow for a while. */
-    public static Instance cold(String id, Duration left) {
+    public static Instance coldInstance(String id, Duration left) {
         Instance instance = instance(id, 1);
         return with(instance, instance.id(), instance.zone(), left);
     }
 
     /** Returns an instance of another zone that holds some models. */
-    public static Instance elsewhere(String zone, String id, long sequence, String... models) {
+    public static Instance instanceInZone(String zone, String id, long sequence, String... models) {
         Instance instance = instance(id, sequence, models);
         return with(instance, instance.id(), new ZoneId(zone), instance.cold());
     }
 
     /** Returns one life of an instance that tells when it started. */
-    public static Instance life(String id, long bornMillis, long sequence, String... models) {
+    public static Instance incarnation(
+            String id, long bornMillis, long sequence, String... models) {
         Instance instance = instance(id, sequence, models);
         return with(instance, new UpstreamId(id, bornMillis), instance.zone(), instance.cold());
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/fleet/PrimaryChoiceTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/fleet/PrimarySelectorTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which control host an entry host relies on. */
-class PrimaryChoiceTest {
+class PrimarySelectorTest {
 
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
     private static final ZoneId HERE = new ZoneId("here");
@@ -18,31 +18,31 @@
     private static final HostId NEAR = new HostId("10.1.0.1:7");
     private static final HostId FAR = new HostId("10.2.0.1:7");
 
-    private final PrimaryChoice choice = new PrimaryChoice(new HostId("10.1.0.9:7"), HERE);
+    private final PrimarySelector choice = new PrimarySelector(new HostId("10.1.0.9:7"), HERE);
 
     @Test
     void hostOfTheOwnZoneIsTaken() {
-        assertThat(choice.among(Map.of(NEAR, HERE, FAR, THERE), 0)).contains(NEAR);
+        assertThat(choice.select(Map.of(NEAR, HERE, FAR, THERE), 0)).contains(NEAR);
     }
 
     @Test
     void hostOfAnotherZoneIsTakenWhereTheOwnHasNone() {
-        assertThat(choice.among(Map.of(FAR, THERE), 0)).contains(FAR);
-        assertThat(choice.among(Map.of(), 0)).isEmpty();
+        assertThat(choice.select(Map.of(FAR, THERE), 0)).contains(FAR);
+        assertThat(choice.select(Map.of(), 0)).isEmpty();
     }
 
     @Test
     void hostThatIsOutOfTouchIsLeftForAWhile() {
         Map<HostId, ZoneId> both = Map.of(NEAR, HERE, FAR, THERE);
-        choice.declined(NEAR, 0);
-        assertThat(choice.among(both, SECOND)).contains(FAR);
-        assertThat(choice.among(both, 3 * SECOND)).contains(NEAR);
+        choice.recordDecline(NEAR, 0);
+        assertThat(choice.select(both, SECOND)).contains(FAR);
+        assertThat(choice.select(both, 3 * SECOND)).contains(NEAR);
     }
 
     @Test
     void hostThatIsOutOfTouchIsBetterThanNone() {
-        choice.declined(NEAR, 0);
-        assertThat(choice.among(Map.of(NEAR, HERE), SECOND)).contains(NEAR);
+        choice.recordDecline(NEAR, 0);
+        assertThat(choice.select(Map.of(NEAR, HERE), SECOND)).contains(NEAR);
     }
 
     @Test
@@ -55,7 +55,9 @@
         for (int number = 10; number < 100; number++) {
             HostId entry = new HostId("10.1.0." + number + ":7380");
             taken.merge(
-                    new PrimaryChoice(entry, HERE).among(three, 0).orElseThrow(), 1, Integer::sum);
+                    new PrimarySelector(entry, HERE).select(three, 0).orElseThrow(),
+                    1,
+                    Integer::sum);
         }
         assertThat(taken.values()).hasSize(3).allMatch(count -> count >= 15 && count <= 45);
     }
--- /dev/null
+++ b/stackhall-core/src/test/java/io/stackhall/core/fleet/UpdateUrgencyTest.java
@@ -0,0 +1,41 @@
+package io.stackhall.core.fleet;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.time.Duration;
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+
+/** What entry hosts hear of an instance at once, with other changes, or not at all. */
+class UpdateUrgencyTest {
+
+    private static final Instance KNOWN = Instances.instance("a", 1, "m");
+
+    @Test
+    void whatDecidesWhereRequestsGoIsToldAtOnce() {
+        assertThat(UpdateUrgency.of(Optional.empty(), KNOWN)).isEqualTo(UpdateUrgency.URGENT);
+        assertThat(of(Instances.incarnation("a", 7, 1, "m"))).isEqualTo(UpdateUrgency.URGENT);
+        assertThat(of(KNOWN.withState(InstanceState.DRAINING))).isEqualTo(UpdateUrgency.URGENT);
+        assertThat(of(Instances.instance("a", "10.0.0.9:1", 2, "m")))
+                .isEqualTo(UpdateUrgency.URGENT);
+        assertThat(of(Instances.instance("a", 2, "m", "n"))).isEqualTo(UpdateUrgency.URGENT);
+    }
+
+    @Test
+    void instanceThatTurnsColdIsToldAtOnceAndOneThatWarmsIsNot() {
+        Instance cold = Instances.coldInstance("c", Duration.ofSeconds(3));
+        Instance warm = Instances.coldInstance("c", Duration.ZERO);
+        assertThat(UpdateUrgency.of(Optional.of(warm), cold)).isEqualTo(UpdateUrgency.URGENT);
+        assertThat(UpdateUrgency.of(Optional.of(cold), warm)).isEqualTo(UpdateUrgency.NONE);
+    }
+
+    @Test
+    void whatIsUnloadedIsToldWithOtherChangesAndARisenSequenceNever() {
+        assertThat(of(Instances.instance("a", 2))).isEqualTo(UpdateUrgency.BATCHED);
+        assertThat(of(Instances.instance("a", 2, "m"))).isEqualTo(UpdateUrgency.NONE);
+    }
+
+    private static UpdateUrgency of(Instance after) {
+        return UpdateUrgency.of(Optional.of(KNOWN), after);
+    }
+}
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/EngineIncarnationTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/EngineIncarnationTest.java
@@ -1,6 +1,6 @@
 package io.stackhall.core.residency;
 
-import static io.stackhall.core.fleet.Instances.life;
+import static io.stackhall.core.fleet.Instances.incarnation;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.stackhall.core.fleet.ModelCopy;
@@ -15,12 +15,12 @@
 
     @Test
     void engineThatStartsAgainUnderItsNameIsCountedAnew() {
-        manager.updateInstances(List.of(life("e", 100, 90, "a")), now);
+        manager.updateInstances(List.of(incarnation("e", 100, 90, "a")), now);
         readLife(100, 7);
         requestsWaitFor("b");
         EngineOrder open = onlyOrder();
         manager.onAnswer(open, EngineAnswer.UNKNOWN, now);
-        manager.updateInstances(List.of(life("e", 200, 1)), now);
+        manager.updateInstances(List.of(incarnation("e", 200, 1)), now);
         advanceMillis(3000);
         readLife(200, 0);
         requestsWaitFor("b");
@@ -32,7 +32,7 @@
 
     @Test
     void accountOfAnEarlierLifeIsNotCounted() {
-        manager.updateInstances(List.of(life("e", 200, 1)), now);
+        manager.updateInstances(List.of(incarnation("e", 200, 1)), now);
         manager.onReport(
                 new UpstreamId("e", 200),
                 new EngineReport(100, 7, false, List.of(copyOf("a"), copyOf("c"))),
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/ResidencyManagerTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ResidencyManagerTest.java
@@ -1,7 +1,7 @@
 package io.stackhall.core.residency;
 
-import static io.stackhall.core.fleet.Instances.elsewhere;
 import static io.stackhall.core.fleet.Instances.instance;
+import static io.stackhall.core.fleet.Instances.instanceInZone;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.stackhall.core.fleet.EvacuatedZones;
@@ -49,7 +49,8 @@
 
     @Test
     void modelsOfAnEvacuatedZoneAreLoadedInAnotherOne() {
-        manager.updateInstances(List.of(instance("e", 1, "a"), elsewhere("yoff", "other", 1)), now);
+        manager.updateInstances(
+                List.of(instance("e", 1, "a"), instanceInZone("yoff", "other", 1)), now);
         manager.step(now);
         manager.onReport(ENGINE, new EngineReport(0, 4, false, List.of()), now);
         manager.onReport(new UpstreamId("other"), new EngineReport(0, 4, false, List.of()), now);
--- a/stackhall-server/src/main/java/io/stackhall/server/control/FleetKeeper.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/FleetKeeper.java
@@ -4,8 +4,8 @@
 import io.netty.channel.EventLoop;
 import io.stackhall.core.config.Finding;
 import io.stackhall.core.fleet.Instance;
-import io.stackhall.core.fleet.InstanceNews;
 import io.stackhall.core.fleet.InstanceTable;
+import io.stackhall.core.fleet.UpdateUrgency;
 import io.stackhall.core.id.HostId;
 import io.stackhall.core.id.ServiceName;
 import io.stackhall.core.id.UpstreamId;
@@ -146,7 +146,7 @@
 
     /** Starts counting silence anew, for a host that may itself have been out of touch. */
     void refresh() {
-        table.refresh(BootClock.nanos());
+        table.restartSilenceTimers(BootClock.nanos());
     }
 
     /**
@@ -273,9 +273,9 @@
             Optional<Instance> before = table.find(instance.id());
             for (Instance after : table.merge(instance, BootClock.nanos())) {
                 heard.add(after);
-                switch (InstanceNews.of(before, after)) {
+                switch (UpdateUrgency.of(before, after)) {
                     case URGENT -> begun.add(after);
-                    case SOON -> changed.add(after);
+                    case BATCHED -> changed.add(after);
                     case NONE -> {
                         // Only its sequence has risen.
                     }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlFollower.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlFollower.java
@@ -3,7 +3,7 @@
 import io.netty.channel.EventLoop;
 import io.stackhall.core.fleet.EvacuatedZones;
 import io.stackhall.core.fleet.InstanceTable;
-import io.stackhall.core.fleet.PrimaryChoice;
+import io.stackhall.core.fleet.PrimarySelector;
 import io.stackhall.core.id.HostId;
 import io.stackhall.core.id.ModelId;
 import io.stackhall.core.id.UpstreamId;
@@ -57,7 +57,7 @@
     private final Map<HostId, Long> connections = new HashMap<>();
     private boolean knowsInstances;
     private final WorkBoard works = new WorkBoard();
-    private final PrimaryChoice primaries;
+    private final PrimarySelector primaries;
     private Optional<HostId> primary = Optional.empty();
     private final RoutesFollower routes;
     private EvacuatedZones evacuated = EvacuatedZones.none();
@@ -75,7 +75,7 @@
         this.hosts = hosts;
         this.gateway = gateway;
         this.random = random;
-        this.primaries = new PrimaryChoice(settings.peerName(), settings.zone());
+        this.primaries = new PrimarySelector(settings.peerName(), settings.zone());
         this.routes = new RoutesFollower(loop, gateway, this::askForRoutes);
         gateway.upstreamWords().onLeaving(id -> table.drain(id).forEach(gateway::changed));
     }
@@ -139,7 +139,7 @@
 
     /** Takes another primary at once where that of before is no longer the best. */
     private void choosePrimary() {
-        Optional<HostId> best = primaries.among(hosts.connected(), BootClock.nanos());
+        Optional<HostId> best = primaries.select(hosts.connected(), BootClock.nanos());
         if (best.equals(primary)) {
             return;
         }
@@ -188,7 +188,7 @@
 
     private void instances(InstancesUpdate update) {
         if (update.getOutOfTouch()) {
-            primary.ifPresent(host -> primaries.declined(host, BootClock.nanos()));
+            primary.ifPresent(host -> primaries.recordDecline(host, BootClock.nanos()));
             choosePrimary();
             return;
         }
