--- a/stackhall-core/src/main/java/io/stackhall/core/placement/DemandTracker.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/DemandTracker.java
@@ -50,7 +50,7 @@
      * @param stillWaiting requests that wait for a model now
      * @param now the monotonic clock, in nanoseconds
      */
-    public void report(
+    public void recordReport(
             HostId host,
             Map<ModelId, Integer> arrivals,
             Map<ModelId, Integer> stillWaiting,
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/MemoryAccount.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/MemoryAccount.java
@@ -46,7 +46,7 @@
     }
 
     /** Returns whether the artifact is taken as occupying memory already. */
-    public boolean charges(Artifact artifact) {
+    public boolean isCharged(Artifact artifact) {
         return charged.containsKey(artifact);
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/OrderTracks.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/OrderTracker.java
@@ -15,7 +15,7 @@
  * <p>An open order is settled only by a report from after its answer, by a restart of the upstream,
  * or, where no answer comes at all, by a report from after the lifetime of the last copy.
  */
-final class OrderTracks {
+final class OrderTracker {
 
     private static final int MAX_SENDS = 6;
 
@@ -23,7 +23,7 @@
     private final Map<Long, Track> tracks = new HashMap<>();
     private final Map<Long, Long> echoSeenAt = new HashMap<>();
 
-    OrderTracks(PlacementSettings settings) {
+    OrderTracker(PlacementSettings settings) {
         this.settings = settings;
     }
 
@@ -48,7 +48,7 @@
     }
 
     /** Follows the ledger: new orders are to be sent, orders of an earlier leader sent again. */
-    void follow(OrderLedger.State orders, boolean inherited, long now) {
+    void update(OrderLedger.State orders, boolean inherited, long now) {
         Set<Long> open = new HashSet<>();
         for (Order order : orders.open()) {
             open.add(order.number());
@@ -63,7 +63,7 @@
         echoSeenAt.keySet().retainAll(echoes);
     }
 
-    void answered(PlacementEvent.Answered answer) {
+    void recordAnswer(PlacementEvent.Answered answer) {
         Track track = tracks.get(answer.number());
         if (track != null) {
             track.inFlight = false;
@@ -71,7 +71,7 @@
         }
     }
 
-    void unanswered(long number, boolean sent, long now) {
+    void recordNoAnswer(long number, boolean sent, long now) {
         Track track = tracks.get(number);
         if (track != null) {
             track.inFlight = false;
@@ -105,7 +105,7 @@
     }
 
     /** Returns the closing of an order that its upstream's latest report settles. */
-    Optional<OrderCommand.Close> settled(Order order, Announcement report, long now) {
+    Optional<OrderCommand.Close> closeIfSettled(Order order, Announcement report, long now) {
         Track track = tracks.get(order.number());
         if (report.incarnation() > order.incarnation()) {
             return Optional.of(
@@ -145,7 +145,7 @@
     }
 
     /** Returns the echoes that can no longer arrive, or would be refused. */
-    List<OrderCommand.ForgetEcho> forgettable(
+    List<OrderCommand.ForgetEcho> expiredEchoes(
             OrderLedger.State orders, Map<String, Announcement> reports, long now) {
         List<OrderCommand.ForgetEcho> found = new ArrayList<>();
         for (Order echo : orders.echoes()) {
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCoordinator.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCoordinator.java
@@ -38,11 +38,11 @@
     private static final long IDLE_DECISION_NANOS = Duration.ofSeconds(1).toNanos();
 
     private final PlacementSettings settings;
-    private final OrderTracks tracks;
-    private final ViewBuilder views = new ViewBuilder();
+    private final OrderTracker tracks;
+    private final PlacementViewBuilder views = new PlacementViewBuilder();
     private final DemandTracker demand = new DemandTracker();
-    private final Starvation starvation = new Starvation();
-    private final StoreShare store;
+    private final StarvationTracker starvation = new StarvationTracker();
+    private final ZoneStoreLimiter store;
     private final TreeMap<String, Announcement> reports = new TreeMap<>();
     private final Map<UpstreamId, Proposed> proposed = new HashMap<>();
     private final Set<Placed> speculative = new HashSet<>();
@@ -64,8 +64,8 @@
     /** Creates a coordinator that does not lead. */
     public PlacementCoordinator(PlacementSettings settings, long now) {
         this.settings = settings;
-        this.tracks = new OrderTracks(settings);
-        this.store = new StoreShare(settings.zones(), now);
+        this.tracks = new OrderTracker(settings);
+        this.store = new ZoneStoreLimiter(settings.zones(), now);
         this.nextDecision = now;
     }
 
@@ -91,9 +91,9 @@
                             Map<ModelId, Integer> arrivals,
                             Map<ModelId, Integer> waiting) ->
                     noteDemand(host, arrivals, waiting, now);
-            case PlacementEvent.Answered answered -> tracks.answered(answered);
+            case PlacementEvent.Answered answered -> tracks.recordAnswer(answered);
             case PlacementEvent.Unanswered(long number, boolean sent) ->
-                    tracks.unanswered(number, sent, now);
+                    tracks.recordNoAnswer(number, sent, now);
             case PlacementEvent.Tick() -> {
                 // Everything below happens on every event.
             }
@@ -156,7 +156,7 @@
 
     private void lead(OrderLedger.State state, long now) {
         tracks.clear();
-        tracks.follow(state, true, now);
+        tracks.update(state, true, now);
         orders = Optional.of(state);
         nextDecision = now + settings.decideEvery().toNanos();
     }
@@ -174,7 +174,7 @@
             return;
         }
         orders = Optional.of(state);
-        tracks.follow(state, false, now);
+        tracks.update(state, false, now);
         state.open().forEach(order -> proposed.remove(order.upstream()));
         closing.retainAll(numbers(state.open()));
         forgetting.retainAll(numbers(state.echoes()));
@@ -196,12 +196,12 @@
 
     private void report(Announcement announcement, long now) {
         reports.put(announcement.id().value(), announcement);
-        views.noteResidents(announcement, now);
+        views.recordResidents(announcement, now);
     }
 
     private void lose(UpstreamId upstream) {
         reports.remove(upstream.value());
-        views.forget(upstream);
+        views.remove(upstream);
     }
 
     private void configure(Configuration next, long now) {
@@ -211,7 +211,7 @@
         }
         configuration = next;
         policy = PlacementPolicy.of(activePolicy());
-        store.limits(next.deployment().weightStore());
+        store.setLimits(next.deployment().weightStore());
         Set<ModelId> deployed = new HashSet<>();
         next.deployment().models().forEach(model -> deployed.add(model.id()));
         next.deployment().adapters().forEach(adapter -> deployed.add(adapter.id()));
@@ -223,19 +223,19 @@
         Set<ModelId> resident = residentModels();
         arrivals.forEach(
                 (model, count) -> count(of -> of.withArrivals(count, !resident.contains(model))));
-        shadow.ifPresent(of -> of.arrived(arrivals, now));
-        starvation.asked(arrivals.keySet(), resident, now);
-        demand.report(host, arrivals, waiting, now);
+        shadow.ifPresent(of -> of.recordArrivals(arrivals, now));
+        starvation.recordRequests(arrivals.keySet(), resident, now);
+        demand.recordReport(host, arrivals, waiting, now);
     }
 
     private void settleOrders(OrderLedger.State state, long now) {
         for (Order order : state.open()) {
             Announcement report = reports.get(order.upstream().value());
             if (report != null) {
-                tracks.settled(order, report, now).ifPresent(this::close);
+                tracks.closeIfSettled(order, report, now).ifPresent(this::close);
             }
         }
-        tracks.forgettable(state, reports, now).forEach(this::forgetEcho);
+        tracks.expiredEchoes(state, reports, now).forEach(this::forgetEcho);
     }
 
     private void close(OrderCommand.Close close) {
@@ -280,14 +280,14 @@
         List<PlacementView.Seat> seats =
                 views.seats(reports.values(), state, busy(state), configuration, now);
         List<PlacementView.Want> wants =
-                ViewBuilder.wants(
+                PlacementViewBuilder.wants(
                         configuration.deployment(),
                         demand,
                         model -> demand.waiting(model, now),
                         starvation,
                         residentModels(),
                         now);
-        int allowed = store.allowed(runningLoads(state), now);
+        int allowed = store.availableLoads(runningLoads(state), now);
         for (Move move : policy.decide(new PlacementView(seats, wants, allowed, now))) {
             carryOut(move, wants, state, now);
         }
@@ -302,7 +302,7 @@
                 long memoryMib = memoryOf(load.artifact(), wants);
                 if (MemoryAccount.of(report, state).admits(memoryMib)) {
                     count(PlacementCounts::withLoad);
-                    store.started();
+                    store.recordLoad();
                     noteIfSpeculative(load);
                     intend(report, Order.Kind.LOAD, load.artifact(), memoryMib, now);
                 }
@@ -347,10 +347,10 @@
 
     /** A load that nobody waited for is needless if it is undone before anybody asked for it. */
     private void noteIfNeedless(Move.Unload unload, long now) {
-        long since = views.since(unload.upstream(), unload.artifact(), now);
+        long since = views.residentSince(unload.upstream(), unload.artifact(), now);
         boolean unused = demand.lastUsed(unload.artifact().id(), Long.MIN_VALUE) < since;
         if (speculative.remove(new Placed(unload.upstream(), unload.artifact())) && unused) {
-            count(PlacementCounts::withNeedless);
+            count(PlacementCounts::withNeedlessLoad);
         }
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCounts.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCounts.java
@@ -19,7 +19,7 @@
         return new PlacementCounts(loads + 1, needlessLoads, misses, arrivals);
     }
 
-    PlacementCounts withNeedless() {
+    PlacementCounts withNeedlessLoad() {
         return new PlacementCounts(loads, needlessLoads + 1, misses, arrivals);
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/ViewBuilder.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementViewBuilder.java
@@ -20,7 +20,7 @@
 import java.util.function.ToIntFunction;
 
 /** Builds a policy's view of a zone from reports, the ledger, the demand and the deployment. */
-final class ViewBuilder {
+final class PlacementViewBuilder {
 
     /** The version that artifacts without a version of their own carry. */
     static final String ADAPTER_VERSION = "1";
@@ -28,7 +28,7 @@
     private final Map<UpstreamId, Map<Artifact, Long>> residentSince = new HashMap<>();
 
     /** Notes since when each artifact is resident. */
-    void noteResidents(Announcement report, long now) {
+    void recordResidents(Announcement report, long now) {
         Map<Artifact, Long> before = residentSince.getOrDefault(report.id(), Map.of());
         Map<Artifact, Long> after = new HashMap<>();
         for (Resident resident : report.memory().resident()) {
@@ -37,11 +37,11 @@
         residentSince.put(report.id(), after);
     }
 
-    void forget(UpstreamId upstream) {
+    void remove(UpstreamId upstream) {
         residentSince.remove(upstream);
     }
 
-    long since(UpstreamId upstream, Artifact artifact, long otherwise) {
+    long residentSince(UpstreamId upstream, Artifact artifact, long otherwise) {
         return residentSince.getOrDefault(upstream, Map.of()).getOrDefault(artifact, otherwise);
     }
 
@@ -65,7 +65,7 @@
             Deployment deployment,
             DemandTracker demand,
             ToIntFunction<ModelId> waiting,
-            Starvation starvation,
+            StarvationTracker starvation,
             Set<ModelId> resident,
             long now) {
         Map<ModelId, Integer> forBase = new HashMap<>();
@@ -114,7 +114,7 @@
         MemoryAccount account = MemoryAccount.of(report, orders);
         List<PlacementView.Held> held = new ArrayList<>();
         for (Resident resident : report.memory().resident()) {
-            long since = since(report.id(), resident.artifact(), now);
+            long since = residentSince(report.id(), resident.artifact(), now);
             held.add(new PlacementView.Held(resident.artifact(), resident.memoryMib(), since));
         }
         return new PlacementView.Seat(
@@ -131,7 +131,7 @@
             AdapterSpec adapter,
             DemandTracker demand,
             ToIntFunction<ModelId> waiting,
-            Starvation starvation,
+            StarvationTracker starvation,
             long now) {
         Optional<Artifact> base =
                 deployment
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/ShadowPlacement.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/ShadowPlacement.java
@@ -34,13 +34,13 @@
     private final List<Loading> loading = new ArrayList<>();
     private final Map<ModelId, Integer> waiting = new HashMap<>();
     private final Set<Placed> speculative = new HashSet<>();
-    private final Starvation starvation = new Starvation();
-    private final StoreShare store;
+    private final StarvationTracker starvation = new StarvationTracker();
+    private final ZoneStoreLimiter store;
     private PlacementCounts counts = PlacementCounts.none();
 
     ShadowPlacement(PolicyName policy, int zones, long now) {
         this.policy = PlacementPolicy.of(policy);
-        this.store = new StoreShare(zones, now);
+        this.store = new ZoneStoreLimiter(zones, now);
     }
 
     private record Placed(UpstreamId upstream, Artifact artifact) {}
@@ -60,9 +60,9 @@
         return counts;
     }
 
-    void arrived(Map<ModelId, Integer> arrivals, long now) {
+    void recordArrivals(Map<ModelId, Integer> arrivals, long now) {
         Set<ModelId> resident = residentModels();
-        starvation.asked(arrivals.keySet(), resident, now);
+        starvation.recordRequests(arrivals.keySet(), resident, now);
         arrivals.forEach(
                 (model, count) -> {
                     boolean missed = !resident.contains(model);
@@ -75,19 +75,19 @@
 
     void decide(
             List<PlacementView.Seat> real, Deployment deployment, DemandTracker demand, long now) {
-        store.limits(deployment.weightStore());
+        store.setLimits(deployment.weightStore());
         finishLoads(now);
         List<PlacementView.Seat> seats = new ArrayList<>();
         real.forEach(seat -> seats.add(shadowOf(seat)));
         List<PlacementView.Want> wants =
-                ViewBuilder.wants(
+                PlacementViewBuilder.wants(
                         deployment,
                         demand,
                         model -> waiting.getOrDefault(model, 0),
                         starvation,
                         residentModels(),
                         now);
-        int allowed = store.allowed(loading.size(), now);
+        int allowed = store.availableLoads(loading.size(), now);
         PlacementView view = new PlacementView(seats, wants, allowed, now);
         policy.decide(view).forEach(move -> carryOut(move, wants, now));
     }
@@ -99,7 +99,7 @@
                     speculative.add(new Placed(upstream, artifact));
                 }
                 counts = counts.withLoad();
-                store.started();
+                store.recordLoad();
                 wants.stream()
                         .filter(want -> want.artifact().equals(artifact))
                         .findFirst()
@@ -119,7 +119,7 @@
                         .anyMatch(item -> unusedSince(item, wants));
         on.removeIf(item -> item.artifact().equals(artifact));
         if (speculative.remove(new Placed(upstream, artifact)) && unused) {
-            counts = counts.withNeedless();
+            counts = counts.withNeedlessLoad();
         }
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/Starvation.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/StarvationTracker.java
@@ -7,14 +7,14 @@
 import java.util.Set;
 
 /** Since when each model has been asked for without being resident anywhere. */
-final class Starvation {
+final class StarvationTracker {
 
     private static final double NANOS_PER_SECOND = Duration.ofSeconds(1).toNanos();
 
     private final Map<ModelId, Long> since = new HashMap<>();
 
     /** Notes that models were asked for; a model that is resident starves no more. */
-    void asked(Set<ModelId> models, Set<ModelId> resident, long now) {
+    void recordRequests(Set<ModelId> models, Set<ModelId> resident, long now) {
         since.keySet().removeAll(resident);
         for (ModelId model : models) {
             if (!resident.contains(model)) {
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/StoreShare.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/ZoneStoreLimiter.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 
 /** One zone's share of the weight store: loads at once, and loads a second. */
-final class StoreShare {
+final class ZoneStoreLimiter {
 
     private static final double NANOS_PER_SECOND = Duration.ofSeconds(1).toNanos();
 
@@ -13,22 +13,22 @@
     private double tokens = 1;
     private long refilledAt;
 
-    StoreShare(int zones, long now) {
+    ZoneStoreLimiter(int zones, long now) {
         this.zones = zones;
         this.refilledAt = now;
     }
 
-    void limits(WeightStoreSpec spec) {
+    void setLimits(WeightStoreSpec spec) {
         store = spec;
     }
 
     /** Returns how many loads may start now beside those that run. */
-    int allowed(int running, long now) {
+    int availableLoads(int running, long now) {
         refill(now);
         return Math.max(0, Math.min(parallel() - running, (int) tokens));
     }
 
-    void started() {
+    void recordLoad() {
         tokens -= 1;
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/ModelDemand.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/ModelDemand.java
@@ -51,9 +51,9 @@
     /** Takes in an entry host's counts of arrivals and waiting requests. */
     void recordReport(
             HostId host, Map<ModelId, Integer> arrivals, Map<ModelId, Integer> waiting, long now) {
-        falling.report(host, arrivals, waiting, now);
-        rising.report(host, arrivals, Map.of(), now);
-        recent.report(host, arrivals, Map.of(), now);
+        falling.recordReport(host, arrivals, waiting, now);
+        rising.recordReport(host, arrivals, Map.of(), now);
+        recent.recordReport(host, arrivals, Map.of(), now);
         if (!asked && !arrivals.isEmpty()) {
             asked = true;
             askedSince = now;
--- a/stackhall-core/src/test/java/io/stackhall/core/placement/FakeZone.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/placement/FakeZone.java
@@ -114,7 +114,7 @@
         lead();
     }
 
-    void disturb(int steps) {
+    void runWithFaults(int steps) {
         for (int step = 0; step < steps; step++) {
             switch (random.nextInt(40)) {
                 case 0 -> lead();
@@ -129,7 +129,7 @@
     }
 
     /** Lets the network be well and asks for every model until each has been resident. */
-    void settle() {
+    void runWithoutFaults() {
         faults = false;
         for (int round = 0; round < 40; round++) {
             for (int model = 0; model < MODELS; model++) {
--- a/stackhall-core/src/test/java/io/stackhall/core/placement/PlacementProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/placement/PlacementProperties.java
@@ -11,22 +11,22 @@
     @Property(tries = 300, seed = "20261202")
     void nothingIsOvercommittedWhereFencingIsChecked(@ForAll long seed) {
         FakeZone zone = new FakeZone(seed, true);
-        zone.disturb(400);
+        zone.runWithFaults(400);
         assertThat(zone.overcommits()).isZero();
     }
 
     @Property(tries = 300, seed = "20261202")
     void nothingIsOvercommittedWhereFencingIsIgnored(@ForAll long seed) {
         FakeZone zone = new FakeZone(seed, false);
-        zone.disturb(400);
+        zone.runWithFaults(400);
         assertThat(zone.overcommits()).isZero();
     }
 
     @Property(tries = 60, seed = "20261202")
     void everyModelIsLoadedOnceTheNetworkIsWell(@ForAll long seed, @ForAll boolean checked) {
         FakeZone zone = new FakeZone(seed, checked);
-        zone.disturb(200);
-        zone.settle();
+        zone.runWithFaults(200);
+        zone.runWithoutFaults();
         assertThat(zone.neverServed()).isEmpty();
         assertThat(zone.overcommits()).isZero();
     }
