--- a/stackhall-core/src/main/java/io/stackhall/core/fleet/InstanceTable.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/fleet/InstanceTable.java
@@ -24,29 +24,29 @@
 public final class InstanceTable {
 
     /** Enough for every incarnation of an hour in which each of 1,000 upstreams restarts. */
-    private static final int MOST_REMEMBERED = 2_000;
+    private static final int MAX_REMEMBERED = 2_000;
 
     /** A process that was frozen or cut off for a minute may come back with its id. */
     private static final int SILENCES_UNTIL_GONE = 20;
 
     private final Duration silence;
     private final Map<UpstreamId, Instance> instances = new LinkedHashMap<>();
-    private final Map<UpstreamId, Long> heardAt = new HashMap<>();
+    private final Map<UpstreamId, Long> lastReportAt = new HashMap<>();
     private final Set<UpstreamId> draining = new HashSet<>();
-    private final Map<UpstreamId, Boolean> gone = new Remembered<>();
-    private final Map<String, Latest> latest = new Remembered<>();
+    private final Map<UpstreamId, Boolean> gone = new BoundedMap<>();
+    private final Map<String, Latest> latest = new BoundedMap<>();
 
     /** The latest life of a name by its own word, and when it was heard of last. */
-    private record Latest(UpstreamId id, long heardAt) {}
+    private record Latest(UpstreamId id, long lastReportAt) {}
 
     /** Forgets what was put in first once there is much. */
-    private static final class Remembered<K, V> extends LinkedHashMap<K, V> {
+    private static final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
 
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-            return size() > MOST_REMEMBERED;
+            return size() > MAX_REMEMBERED;
         }
     }
 
@@ -70,12 +70,12 @@
             return List.of();
         }
         Instance known = instances.get(report.id());
-        if (isOfEarlierLife(report.id(), now)) {
+        if (isOfEarlierIncarnation(report.id(), now)) {
             return List.of();
         }
         if (report.state() == InstanceState.GONE) {
-            noteLatest(report.id(), now);
-            return ended(known == null ? report : known);
+            recordLatest(report.id(), now);
+            return markGoneWithEarlier(known == null ? report : known);
         }
         if (report.state() == InstanceState.SILENT) {
             return silence(known, report);
@@ -87,16 +87,16 @@
         List<Instance> changed = new ArrayList<>();
         if (known == null) {
             List<Instance> displaced = displacedBy(report);
-            if (displaced.stream().anyMatch(old -> holdsOut(old, report, now))) {
+            if (displaced.stream().anyMatch(old -> isStillAlive(old, report, now))) {
                 return List.of();
             }
-            displaced.forEach(old -> changed.add(bury(old)));
+            displaced.forEach(old -> changed.add(markGone(old)));
         }
-        heardAt.put(report.id(), now);
-        noteLatest(report.id(), now);
+        lastReportAt.put(report.id(), now);
+        recordLatest(report.id(), now);
         boolean drains = draining.contains(report.id());
         Instance next = drains ? report.withState(InstanceState.DRAINING) : report;
-        keep(next);
+        put(next);
         changed.add(next);
         return changed;
     }
@@ -109,12 +109,12 @@
     public List<Instance> remove(UpstreamId id) {
         Instance known = instances.get(id);
         if (known != null) {
-            return List.of(bury(known));
+            return List.of(markGone(known));
         }
         if (id.bornMillis() == UpstreamId.UNTOLD) {
-            Optional<Instance> life = named(id.value());
-            if (life.isPresent()) {
-                return List.of(bury(life.get()));
+            Optional<Instance> incarnation = findByName(id.value());
+            if (incarnation.isPresent()) {
+                return List.of(markGone(incarnation.get()));
             }
         }
         gone.put(id, true);
@@ -128,7 +128,7 @@
             return List.of();
         }
         Instance next = known.withState(InstanceState.DRAINING);
-        keep(next);
+        put(next);
         return List.of(next);
     }
 
@@ -138,9 +138,9 @@
     public List<Instance> expire(long now) {
         List<Instance> changed = new ArrayList<>();
         for (Instance instance : List.copyOf(instances.values())) {
-            if (!heardWithin(instance.id(), silence.multipliedBy(SILENCES_UNTIL_GONE), now)) {
-                changed.add(bury(instance));
-            } else if (!heardWithin(instance.id(), silence, now)) {
+            if (!reportedWithin(instance.id(), silence.multipliedBy(SILENCES_UNTIL_GONE), now)) {
+                changed.add(markGone(instance));
+            } else if (!reportedWithin(instance.id(), silence, now)) {
                 changed.addAll(silence(instance, instance));
             }
         }
@@ -149,7 +149,7 @@
 
     /** Counts all as just heard: what was silent may have been this host itself. */
     public void restartSilenceTimers(long now) {
-        heardAt.replaceAll((id, at) -> now);
+        lastReportAt.replaceAll((id, at) -> now);
     }
 
     /** Returns an incarnation that is not gone. */
@@ -177,16 +177,16 @@
         return List.of(next);
     }
 
-    private void keep(Instance instance) {
+    private void put(Instance instance) {
         instances.put(instance.id(), instance);
         if (instance.state() == InstanceState.DRAINING) {
             draining.add(instance.id());
         }
     }
 
-    private Instance bury(Instance instance) {
+    private Instance markGone(Instance instance) {
         instances.remove(instance.id());
-        heardAt.remove(instance.id());
+        lastReportAt.remove(instance.id());
         draining.remove(instance.id());
         gone.put(instance.id(), true);
         return instance.withState(InstanceState.GONE);
@@ -206,48 +206,48 @@
      * Returns whether a life that is known goes on although another shows up in its place: the
      * other's report may have been on its way for seconds.
      */
-    private boolean holdsOut(Instance old, Instance report, long now) {
+    private boolean isStillAlive(Instance old, Instance report, long now) {
         return !report.id().startedAfter(old.id())
-                && heardWithin(old.id(), silence.dividedBy(4), now);
+                && reportedWithin(old.id(), silence.dividedBy(4), now);
     }
 
     /**
      * Returns whether a later life of the name has been heard of lately. Long after that, the life
      * is taken for a new one whose host's clock had stepped back.
      */
-    private boolean isOfEarlierLife(UpstreamId id, long now) {
+    private boolean isOfEarlierIncarnation(UpstreamId id, long now) {
         Latest newest = latest.get(id.value());
         return newest != null
                 && newest.id().startedAfter(id)
-                && now - newest.heardAt() < silence.dividedBy(4).toNanos();
+                && now - newest.lastReportAt() < silence.dividedBy(4).toNanos();
     }
 
-    private void noteLatest(UpstreamId id, long now) {
+    private void recordLatest(UpstreamId id, long now) {
         if (id.bornMillis() != UpstreamId.UNTOLD) {
             latest.put(id.value(), new Latest(id, now));
         }
     }
 
     /** With a life that has ended, those of its name before it have ended too. */
-    private List<Instance> ended(Instance life) {
+    private List<Instance> markGoneWithEarlier(Instance incarnation) {
         List<Instance> all = new ArrayList<>();
         for (Instance other : List.copyOf(instances.values())) {
-            if (life.id().startedAfter(other.id())) {
-                all.add(bury(other));
+            if (incarnation.id().startedAfter(other.id())) {
+                all.add(markGone(other));
             }
         }
-        all.add(bury(life));
+        all.add(markGone(incarnation));
         return all;
     }
 
-    private Optional<Instance> named(String name) {
+    private Optional<Instance> findByName(String name) {
         return instances.values().stream()
                 .filter(instance -> instance.id().value().equals(name))
                 .findFirst();
     }
 
-    private boolean heardWithin(UpstreamId id, Duration period, long now) {
-        Long at = heardAt.get(id);
+    private boolean reportedWithin(UpstreamId id, Duration period, long now) {
+        Long at = lastReportAt.get(id);
         return at != null && now - at < period.toNanos();
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/fleet/PrimarySelector.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/fleet/PrimarySelector.java
@@ -22,10 +22,10 @@
 public final class PrimarySelector {
 
     /** An election takes about a second; asked sooner, the host would only decline again. */
-    private static final long DECLINED_NANOS = Duration.ofSeconds(2).toNanos();
+    private static final long DECLINE_NANOS = Duration.ofSeconds(2).toNanos();
 
     /** An odd number with mixed bits: texts that differ in one sign rank unlike. */
-    private static final int SPREAD = 0x9E3779B1;
+    private static final int HASH_MULTIPLIER = 0x9E3779B1;
 
     private final HostId self;
     private final ZoneId zone;
@@ -49,7 +49,7 @@
      * @param connected the hosts and the zones in which they stand
      */
     public Optional<HostId> select(Map<HostId, ZoneId> connected, long now) {
-        declinedAt.values().removeIf(at -> now - at >= DECLINED_NANOS);
+        declinedAt.values().removeIf(at -> now - at >= DECLINE_NANOS);
         return connected.keySet().stream()
                 .min(
                         Comparator.comparing((HostId host) -> declinedAt.containsKey(host))
@@ -61,6 +61,7 @@
     /** Spreads entry hosts over the control hosts that they could as well take. */
     private int rank(HostId host) {
         return Math.floorMod(
-                (self.value() + ' ' + host.value()).hashCode() * SPREAD, Integer.MAX_VALUE);
+                (self.value() + ' ' + host.value()).hashCode() * HASH_MULTIPLIER,
+                Integer.MAX_VALUE);
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/OrderTracker.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/OrderTracker.java
@@ -20,7 +20,7 @@
     private static final int MAX_SENDS = 6;
 
     private final PlacementSettings settings;
-    private final Map<Long, Track> tracks = new HashMap<>();
+    private final Map<Long, Delivery> deliveries = new HashMap<>();
     private final Map<Long, Long> echoSeenAt = new HashMap<>();
 
     OrderTracker(PlacementSettings settings) {
@@ -28,7 +28,7 @@
     }
 
     /** What became of one order as far as this leader knows. */
-    private static final class Track {
+    private static final class Delivery {
         private final boolean inherited;
         private boolean inFlight;
         private int sends;
@@ -36,14 +36,14 @@
         private long nextSend;
         private Optional<PlacementEvent.Answered> answer = Optional.empty();
 
-        Track(boolean inherited, long now) {
+        Delivery(boolean inherited, long now) {
             this.inherited = inherited;
             this.nextSend = now;
         }
     }
 
     void clear() {
-        tracks.clear();
+        deliveries.clear();
         echoSeenAt.clear();
     }
 
@@ -52,9 +52,9 @@
         Set<Long> open = new HashSet<>();
         for (Order order : orders.open()) {
             open.add(order.number());
-            tracks.computeIfAbsent(order.number(), key -> new Track(inherited, now));
+            deliveries.computeIfAbsent(order.number(), key -> new Delivery(inherited, now));
         }
-        tracks.keySet().retainAll(open);
+        deliveries.keySet().retainAll(open);
         Set<Long> echoes = new HashSet<>();
         for (Order order : orders.echoes()) {
             echoes.add(order.number());
@@ -64,79 +64,80 @@
     }
 
     void recordAnswer(PlacementEvent.Answered answer) {
-        Track track = tracks.get(answer.number());
-        if (track != null) {
-            track.inFlight = false;
-            track.answer = Optional.of(answer);
+        Delivery delivery = deliveries.get(answer.number());
+        if (delivery != null) {
+            delivery.inFlight = false;
+            delivery.answer = Optional.of(answer);
         }
     }
 
     void recordNoAnswer(long number, boolean sent, long now) {
-        Track track = tracks.get(number);
-        if (track != null) {
-            track.inFlight = false;
-            track.nextSend = now + settings.resendAfter().toNanos();
+        Delivery delivery = deliveries.get(number);
+        if (delivery != null) {
+            delivery.inFlight = false;
+            delivery.nextSend = now + settings.resendAfter().toNanos();
             if (!sent) {
-                track.sends--;
+                delivery.sends--;
             }
         }
     }
 
     /** Returns whether the order should be sent now, and notes that it is. */
     boolean startSend(Order order, long now) {
-        Track track = tracks.get(order.number());
+        Delivery delivery = deliveries.get(order.number());
         boolean due =
-                !track.inFlight
-                        && track.answer.isEmpty()
-                        && track.sends < MAX_SENDS
-                        && now - track.nextSend >= 0;
+                !delivery.inFlight
+                        && delivery.answer.isEmpty()
+                        && delivery.sends < MAX_SENDS
+                        && now - delivery.nextSend >= 0;
         if (due) {
-            track.inFlight = true;
-            track.sends++;
-            track.lastSend = now;
+            delivery.inFlight = true;
+            delivery.sends++;
+            delivery.lastSend = now;
         }
         return due;
     }
 
     /** Returns whether no copy of the order has ever left, as far as the ledger shows. */
     boolean neverSent(Order order) {
-        Track track = tracks.get(order.number());
-        return !track.inherited && track.sends == 0;
+        Delivery delivery = deliveries.get(order.number());
+        return !delivery.inherited && delivery.sends == 0;
     }
 
     /** Returns the closing of an order that its upstream's latest report settles. */
     Optional<OrderCommand.Close> closeIfSettled(Order order, Announcement report, long now) {
-        Track track = tracks.get(order.number());
+        Delivery delivery = deliveries.get(order.number());
         if (report.incarnation() > order.incarnation()) {
             return Optional.of(
-                    new OrderCommand.Close(order.number(), track.sends > 0 || track.inherited));
+                    new OrderCommand.Close(
+                            order.number(), delivery.sends > 0 || delivery.inherited));
         }
-        if (track.answer.isPresent()) {
-            PlacementEvent.Answered answer = track.answer.get();
+        if (delivery.answer.isPresent()) {
+            PlacementEvent.Answered answer = delivery.answer.get();
             boolean after =
                     report.incarnation() == answer.incarnation()
                             && report.sequence() >= answer.sequence();
-            return after ? Optional.of(closing(order, report)) : Optional.empty();
+            return after ? Optional.of(newClose(order, report)) : Optional.empty();
         }
-        if (shows(report, order)) {
-            return Optional.of(closing(order, report));
+        if (showsEffect(report, order)) {
+            return Optional.of(newClose(order, report));
         }
-        boolean lapsed =
-                track.sends >= MAX_SENDS
-                        && !track.inFlight
-                        && now - track.lastSend > settings.orderLifetime().toNanos();
-        return lapsed
+        boolean expired =
+                delivery.sends >= MAX_SENDS
+                        && !delivery.inFlight
+                        && now - delivery.lastSend > settings.orderLifetime().toNanos();
+        return expired
                 ? Optional.of(new OrderCommand.Close(order.number(), false))
                 : Optional.empty();
     }
 
     /** A late copy of an order can only do harm where old fencing numbers are not refused. */
-    private static OrderCommand.Close closing(Order order, Announcement report) {
+    private static OrderCommand.Close newClose(Order order, Announcement report) {
         return new OrderCommand.Close(order.number(), !report.fencing().checked());
     }
 
     /** Returns whether a report shows the state that an unanswered order asks for. */
-    private static boolean shows(Announcement report, Order order) {
+    private static boolean showsEffect(Announcement report, Order order) {
         boolean resident =
                 report.memory().resident().stream()
                         .anyMatch(item -> item.artifact().equals(order.artifact()));
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCoordinator.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCoordinator.java
@@ -42,12 +42,12 @@
     private final PlacementViewBuilder views = new PlacementViewBuilder();
     private final DemandTracker demand = new DemandTracker();
     private final StarvationTracker starvation = new StarvationTracker();
-    private final ZoneStoreLimiter store;
+    private final ZoneStoreLimiter storeLimiter;
     private final TreeMap<String, Announcement> reports = new TreeMap<>();
     private final Map<UpstreamId, Proposed> proposed = new HashMap<>();
-    private final Set<Placed> speculative = new HashSet<>();
-    private final Set<Long> closing = new HashSet<>();
-    private final Set<Long> forgetting = new HashSet<>();
+    private final Set<Placement> speculative = new HashSet<>();
+    private final Set<Long> proposedCloses = new HashSet<>();
+    private final Set<Long> proposedForgets = new HashSet<>();
     private final List<PlacementEffect> effects = new ArrayList<>();
     private Optional<OrderLedger.State> orders = Optional.empty();
     private Configuration configuration = Configuration.initial();
@@ -55,9 +55,9 @@
     private Optional<ShadowPlacement> shadow = Optional.empty();
     private final Map<PolicyName, PlacementCounts> counts = new EnumMap<>(PolicyName.class);
     private long nextDecision;
-    private boolean pressing;
+    private boolean decisionRequested;
 
-    private record Placed(UpstreamId upstream, Artifact artifact) {}
+    private record Placement(UpstreamId upstream, Artifact artifact) {}
 
     private record Proposed(Optional<Artifact> load, long at) {}
 
@@ -65,7 +65,7 @@
     public PlacementCoordinator(PlacementSettings settings, long now) {
         this.settings = settings;
         this.tracks = new OrderTracker(settings);
-        this.store = new ZoneStoreLimiter(settings.zones(), now);
+        this.storeLimiter = new ZoneStoreLimiter(settings.zones(), now);
         this.nextDecision = now;
     }
 
@@ -77,20 +77,21 @@
      * @return what to do, in order
      */
     public List<PlacementEffect> step(PlacementEvent event, long now) {
-        pressing |= presses(event);
+        decisionRequested |= requestsDecision(event);
         switch (event) {
-            case PlacementEvent.Led(OrderLedger.State state) -> lead(state, now);
-            case PlacementEvent.Deposed() -> depose();
-            case PlacementEvent.LedgerChanged(OrderLedger.State state) -> follow(state, now);
-            case PlacementEvent.ProposalFailed(OrderCommand command) -> forget(command);
-            case PlacementEvent.Reported(Announcement announcement) -> report(announcement, now);
-            case PlacementEvent.UpstreamLost(UpstreamId upstream) -> lose(upstream);
+            case PlacementEvent.Led(OrderLedger.State state) -> startLeading(state, now);
+            case PlacementEvent.Deposed() -> stopLeading();
+            case PlacementEvent.LedgerChanged(OrderLedger.State state) -> updateLedger(state, now);
+            case PlacementEvent.ProposalFailed(OrderCommand command) -> onProposalFailed(command);
+            case PlacementEvent.Reported(Announcement announcement) ->
+                    recordReport(announcement, now);
+            case PlacementEvent.UpstreamLost(UpstreamId upstream) -> removeUpstream(upstream);
             case PlacementEvent.Configured(Configuration next) -> configure(next, now);
             case PlacementEvent.Demanded(
                             HostId host,
                             Map<ModelId, Integer> arrivals,
                             Map<ModelId, Integer> waiting) ->
-                    noteDemand(host, arrivals, waiting, now);
+                    recordDemand(host, arrivals, waiting, now);
             case PlacementEvent.Answered answered -> tracks.recordAnswer(answered);
             case PlacementEvent.Unanswered(long number, boolean sent) ->
                     tracks.recordNoAnswer(number, sent, now);
@@ -134,7 +135,7 @@
     }
 
     /** Returns whether an event may call for another decision before the idle interval is over. */
-    private boolean presses(PlacementEvent event) {
+    private boolean requestsDecision(PlacementEvent event) {
         return switch (event) {
             case PlacementEvent.Demanded demanded ->
                     demanded.waiting().values().stream().anyMatch(count -> count > 0);
@@ -154,30 +155,30 @@
         };
     }
 
-    private void lead(OrderLedger.State state, long now) {
+    private void startLeading(OrderLedger.State state, long now) {
         tracks.clear();
         tracks.update(state, true, now);
         orders = Optional.of(state);
         nextDecision = now + settings.decideEvery().toNanos();
     }
 
-    private void depose() {
+    private void stopLeading() {
         orders = Optional.empty();
         tracks.clear();
         proposed.clear();
-        closing.clear();
-        forgetting.clear();
+        proposedCloses.clear();
+        proposedForgets.clear();
     }
 
-    private void follow(OrderLedger.State state, long now) {
+    private void updateLedger(OrderLedger.State state, long now) {
         if (orders.isEmpty()) {
             return;
         }
         orders = Optional.of(state);
         tracks.update(state, false, now);
         state.open().forEach(order -> proposed.remove(order.upstream()));
-        closing.retainAll(numbers(state.open()));
-        forgetting.retainAll(numbers(state.echoes()));
+        proposedCloses.retainAll(numbers(state.open()));
+        proposedForgets.retainAll(numbers(state.echoes()));
     }
 
     private static Set<Long> numbers(List<Order> orders) {
@@ -186,20 +187,20 @@
         return numbers;
     }
 
-    private void forget(OrderCommand command) {
+    private void onProposalFailed(OrderCommand command) {
         switch (command) {
             case OrderCommand.Intend intend -> proposed.remove(intend.upstream());
-            case OrderCommand.Close(long number, boolean ignored) -> closing.remove(number);
-            case OrderCommand.ForgetEcho(long number) -> forgetting.remove(number);
+            case OrderCommand.Close(long number, boolean ignored) -> proposedCloses.remove(number);
+            case OrderCommand.ForgetEcho(long number) -> proposedForgets.remove(number);
         }
     }
 
-    private void report(Announcement announcement, long now) {
+    private void recordReport(Announcement announcement, long now) {
         reports.put(announcement.id().value(), announcement);
         views.recordResidents(announcement, now);
     }
 
-    private void lose(UpstreamId upstream) {
+    private void removeUpstream(UpstreamId upstream) {
         reports.remove(upstream.value());
         views.remove(upstream);
     }
@@ -211,18 +212,19 @@
         }
         configuration = next;
         policy = PlacementPolicy.of(activePolicy());
-        store.setLimits(next.deployment().weightStore());
+        storeLimiter.setLimits(next.deployment().weightStore());
         Set<ModelId> deployed = new HashSet<>();
         next.deployment().models().forEach(model -> deployed.add(model.id()));
         next.deployment().adapters().forEach(adapter -> deployed.add(adapter.id()));
         demand.retain(deployed);
     }
 
-    private void noteDemand(
+    private void recordDemand(
             HostId host, Map<ModelId, Integer> arrivals, Map<ModelId, Integer> waiting, long now) {
         Set<ModelId> resident = residentModels();
         arrivals.forEach(
-                (model, count) -> count(of -> of.withArrivals(count, !resident.contains(model))));
+                (model, count) ->
+                        updateCounts(of -> of.withArrivals(count, !resident.contains(model))));
         shadow.ifPresent(of -> of.recordArrivals(arrivals, now));
         starvation.recordRequests(arrivals.keySet(), resident, now);
         demand.recordReport(host, arrivals, waiting, now);
@@ -239,13 +241,13 @@
     }
 
     private void close(OrderCommand.Close close) {
-        if (closing.add(close.number())) {
+        if (proposedCloses.add(close.number())) {
             effects.add(new PlacementEffect.Propose(close));
         }
     }
 
     private void forgetEcho(OrderCommand.ForgetEcho forgotten) {
-        if (forgetting.add(forgotten.number())) {
+        if (proposedForgets.add(forgotten.number())) {
             effects.add(new PlacementEffect.Propose(forgotten));
         }
     }
@@ -253,7 +255,7 @@
     private void sendOrders(OrderLedger.State state, long now) {
         for (Order order : state.open()) {
             Announcement report = reports.get(order.upstream().value());
-            if (report == null || closing.contains(order.number())) {
+            if (report == null || proposedCloses.contains(order.number())) {
                 continue;
             }
             if (tracks.neverSent(order) && !stillFits(order, report, state)) {
@@ -270,11 +272,11 @@
     }
 
     private void decide(OrderLedger.State state, long now) {
-        long due = pressing ? nextDecision : nextDecision + IDLE_DECISION_NANOS;
+        long due = decisionRequested ? nextDecision : nextDecision + IDLE_DECISION_NANOS;
         if (now - due < 0) {
             return;
         }
-        pressing = false;
+        decisionRequested = false;
         nextDecision = now + settings.decideEvery().toNanos();
         dropStaleProposals(now);
         List<PlacementView.Seat> seats =
@@ -287,28 +289,28 @@
                         starvation,
                         residentModels(),
                         now);
-        int allowed = store.availableLoads(runningLoads(state), now);
+        int allowed = storeLimiter.availableLoads(runningLoads(state), now);
         for (Move move : policy.decide(new PlacementView(seats, wants, allowed, now))) {
-            carryOut(move, wants, state, now);
+            apply(move, wants, state, now);
         }
         shadow.ifPresent(of -> of.decide(seats, configuration.deployment(), demand, now));
     }
 
-    private void carryOut(
+    private void apply(
             Move move, List<PlacementView.Want> wants, OrderLedger.State state, long now) {
         Announcement report = reports.get(move.upstream().value());
         switch (move) {
             case Move.Load load -> {
                 long memoryMib = memoryOf(load.artifact(), wants);
                 if (MemoryAccount.of(report, state).admits(memoryMib)) {
-                    count(PlacementCounts::withLoad);
-                    store.recordLoad();
-                    noteIfSpeculative(load);
+                    updateCounts(PlacementCounts::withLoad);
+                    storeLimiter.recordLoad();
+                    recordIfSpeculative(load);
                     intend(report, Order.Kind.LOAD, load.artifact(), memoryMib, now);
                 }
             }
             case Move.Unload unload -> {
-                noteIfNeedless(unload, now);
+                countIfNeedless(unload, now);
                 intend(report, Order.Kind.UNLOAD, unload.artifact(), 0, now);
             }
         }
@@ -335,22 +337,22 @@
                                 highestSeen)));
     }
 
-    private void count(UnaryOperator<PlacementCounts> change) {
+    private void updateCounts(UnaryOperator<PlacementCounts> change) {
         counts.put(activePolicy(), change.apply(counts()));
     }
 
-    private void noteIfSpeculative(Move.Load load) {
+    private void recordIfSpeculative(Move.Load load) {
         if (!load.urgent()) {
-            speculative.add(new Placed(load.upstream(), load.artifact()));
+            speculative.add(new Placement(load.upstream(), load.artifact()));
         }
     }
 
     /** A load that nobody waited for is needless if it is undone before anybody asked for it. */
-    private void noteIfNeedless(Move.Unload unload, long now) {
+    private void countIfNeedless(Move.Unload unload, long now) {
         long since = views.residentSince(unload.upstream(), unload.artifact(), now);
         boolean unused = demand.lastUsed(unload.artifact().id(), Long.MIN_VALUE) < since;
-        if (speculative.remove(new Placed(unload.upstream(), unload.artifact())) && unused) {
-            count(PlacementCounts::withNeedlessLoad);
+        if (speculative.remove(new Placement(unload.upstream(), unload.artifact())) && unused) {
+            updateCounts(PlacementCounts::withNeedlessLoad);
         }
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/ShadowPlacement.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/ShadowPlacement.java
@@ -33,17 +33,17 @@
     private final Map<UpstreamId, List<PlacementView.Held>> held = new HashMap<>();
     private final List<Loading> loading = new ArrayList<>();
     private final Map<ModelId, Integer> waiting = new HashMap<>();
-    private final Set<Placed> speculative = new HashSet<>();
+    private final Set<Placement> speculative = new HashSet<>();
     private final StarvationTracker starvation = new StarvationTracker();
-    private final ZoneStoreLimiter store;
+    private final ZoneStoreLimiter storeLimiter;
     private PlacementCounts counts = PlacementCounts.none();
 
     ShadowPlacement(PolicyName policy, int zones, long now) {
         this.policy = PlacementPolicy.of(policy);
-        this.store = new ZoneStoreLimiter(zones, now);
+        this.storeLimiter = new ZoneStoreLimiter(zones, now);
     }
 
-    private record Placed(UpstreamId upstream, Artifact artifact) {}
+    private record Placement(UpstreamId upstream, Artifact artifact) {}
 
     private record Loading(UpstreamId upstream, PlacementView.Want want, long readyAt) {}
 
@@ -75,7 +75,7 @@
 
     void decide(
             List<PlacementView.Seat> real, Deployment deployment, DemandTracker demand, long now) {
-        store.setLimits(deployment.weightStore());
+        storeLimiter.setLimits(deployment.weightStore());
         finishLoads(now);
         List<PlacementView.Seat> seats = new ArrayList<>();
         real.forEach(seat -> seats.add(shadowOf(seat)));
@@ -87,19 +87,19 @@
                         starvation,
                         residentModels(),
                         now);
-        int allowed = store.availableLoads(loading.size(), now);
+        int allowed = storeLimiter.availableLoads(loading.size(), now);
         PlacementView view = new PlacementView(seats, wants, allowed, now);
-        policy.decide(view).forEach(move -> carryOut(move, wants, now));
+        policy.decide(view).forEach(move -> apply(move, wants, now));
     }
 
-    private void carryOut(Move move, List<PlacementView.Want> wants, long now) {
+    private void apply(Move move, List<PlacementView.Want> wants, long now) {
         switch (move) {
             case Move.Load(UpstreamId upstream, Artifact artifact, boolean urgent) -> {
                 if (!urgent) {
-                    speculative.add(new Placed(upstream, artifact));
+                    speculative.add(new Placement(upstream, artifact));
                 }
                 counts = counts.withLoad();
-                store.recordLoad();
+                storeLimiter.recordLoad();
                 wants.stream()
                         .filter(want -> want.artifact().equals(artifact))
                         .findFirst()
@@ -118,7 +118,7 @@
                         .filter(item -> item.artifact().equals(artifact))
                         .anyMatch(item -> unusedSince(item, wants));
         on.removeIf(item -> item.artifact().equals(artifact));
-        if (speculative.remove(new Placed(upstream, artifact)) && unused) {
+        if (speculative.remove(new Placement(upstream, artifact)) && unused) {
             counts = counts.withNeedlessLoad();
         }
     }
@@ -148,18 +148,18 @@
         List<PlacementView.Held> on =
                 held.computeIfAbsent(seat.upstream(), key -> new ArrayList<>(seat.held()));
         long total = seat.freeMib() + sum(seat.held());
-        Optional<Loading> coming =
+        Optional<Loading> incoming =
                 loading.stream()
                         .filter(item -> item.upstream().equals(seat.upstream()))
                         .findFirst();
-        long comingMib = coming.map(item -> item.want().memoryMib()).orElse(0L);
+        long incomingMib = incoming.map(item -> item.want().memoryMib()).orElse(0L);
         return new PlacementView.Seat(
                 seat.upstream(),
-                total - sum(on) - comingMib,
+                total - sum(on) - incomingMib,
                 seat.slots(),
                 on,
-                coming.isPresent(),
-                coming.map(item -> item.want().artifact()));
+                incoming.isPresent(),
+                incoming.map(item -> item.want().artifact()));
     }
 
     private Set<ModelId> residentModels() {
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/ZoneStoreLimiter.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/ZoneStoreLimiter.java
@@ -25,20 +25,20 @@
     /** Returns how many loads may start now beside those that run. */
     int availableLoads(int running, long now) {
         refill(now);
-        return Math.max(0, Math.min(parallel() - running, (int) tokens));
+        return Math.max(0, Math.min(maxParallelLoads() - running, (int) tokens));
     }
 
     void recordLoad() {
         tokens -= 1;
     }
 
-    private int parallel() {
+    private int maxParallelLoads() {
         return Math.max(1, store.parallelLoads() / zones);
     }
 
     private void refill(long now) {
         double seconds = (now - refilledAt) / NANOS_PER_SECOND;
-        tokens = Math.min(parallel(), tokens + seconds * store.loadsPerSecond() / zones);
+        tokens = Math.min(maxParallelLoads(), tokens + seconds * store.loadsPerSecond() / zones);
         refilledAt = now;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/AdapterPlanner.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/AdapterPlanner.java
@@ -18,44 +18,45 @@
  */
 final class AdapterPlanner {
 
-    private final Map<AdapterKey, Long> usedAt = new HashMap<>();
+    private final Map<AdapterKey, Long> lastUsedAt = new HashMap<>();
 
     /** An adapter that is to be loaded, or to make room. */
     record Change(boolean load, AdapterKey key) {}
 
     /** Notes that an adapter was asked for. */
     void recordUse(AdapterKey key, long now) {
-        usedAt.put(key, now);
+        lastUsedAt.put(key, now);
     }
 
     /**
      * Returns what comes next on an engine.
      *
-     * @param spare whether free slots may be filled with adapters that nobody waits for
+     * @param fillFreeSlots whether free slots may be filled with adapters that nobody waits for
      */
-    Optional<Change> nextChange(EngineTracker engine, EngineSpec spec, boolean spare) {
-        Optional<Change> wanted = wanted(engine, spec);
-        return wanted.isPresent() || !spare ? wanted : spare(engine, spec);
+    Optional<Change> nextChange(EngineTracker engine, EngineSpec spec, boolean fillFreeSlots) {
+        Optional<Change> requested = nextRequested(engine, spec);
+        return requested.isPresent() || !fillFreeSlots ? requested : fillFreeSlot(engine, spec);
     }
 
-    private Optional<Change> wanted(EngineTracker engine, EngineSpec spec) {
+    private Optional<Change> nextRequested(EngineTracker engine, EngineSpec spec) {
         Optional<AdapterKey> next = engine.adapterQueue().peek();
         while (next.isPresent()) {
             AdapterKey key = next.get();
-            Set<AdapterKey> held = engine.adapters();
+            Set<AdapterKey> occupied = engine.adapters();
             boolean possible = engine.instance().copyOf(key.model()).isPresent();
-            if (!possible || held.contains(key)) {
+            if (!possible || occupied.contains(key)) {
                 engine.adapterQueue().removeFirst();
                 next = engine.adapterQueue().peek();
                 continue;
             }
             boolean fits =
-                    held.size() < spec.adapterSlots() && memoryMb(spec, key) <= engine.freeMb(spec);
+                    occupied.size() < spec.adapterSlots()
+                            && memoryMb(spec, key) <= engine.freeMb(spec);
             if (fits) {
                 engine.adapterQueue().removeFirst();
                 return Optional.of(new Change(true, key));
             }
-            return leastUsed(held).map(old -> new Change(false, old));
+            return leastRecentlyUsed(occupied).map(old -> new Change(false, old));
         }
         return Optional.empty();
     }
@@ -64,9 +65,9 @@
      * Fills a free slot with an adapter that may be asked for: the one used last, or the first that
      * the engine lacks. While an engine loads a model, for some seconds, it can be given none.
      */
-    private Optional<Change> spare(EngineTracker engine, EngineSpec spec) {
-        Set<AdapterKey> held = engine.adapters();
-        if (held.size() >= spec.adapterSlots()) {
+    private Optional<Change> fillFreeSlot(EngineTracker engine, EngineSpec spec) {
+        Set<AdapterKey> occupied = engine.adapters();
+        if (occupied.size() >= spec.adapterSlots()) {
             return Optional.empty();
         }
         AdapterKey best = null;
@@ -75,7 +76,7 @@
             for (String name : spec.model(model).map(ModelWeights::adapters).orElse(List.of())) {
                 AdapterKey key = new AdapterKey(model, name);
                 boolean better = best == null || lastUsed(key) > lastUsed(best);
-                best = !held.contains(key) && better ? key : best;
+                best = !occupied.contains(key) && better ? key : best;
             }
         }
         return Optional.ofNullable(best)
@@ -84,14 +85,14 @@
     }
 
     private long lastUsed(AdapterKey key) {
-        return usedAt.getOrDefault(key, Long.MIN_VALUE);
+        return lastUsedAt.getOrDefault(key, Long.MIN_VALUE);
     }
 
     private static double memoryMb(EngineSpec spec, AdapterKey key) {
         return spec.model(key.model()).map(ModelWeights::adapterMb).orElse(0.0);
     }
 
-    private Optional<AdapterKey> leastUsed(Set<AdapterKey> held) {
-        return held.stream().min(Comparator.comparingLong(this::lastUsed));
+    private Optional<AdapterKey> leastRecentlyUsed(Set<AdapterKey> occupied) {
+        return occupied.stream().min(Comparator.comparingLong(this::lastUsed));
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/AdapterSlots.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/AdapterSlots.java
@@ -17,48 +17,48 @@
  */
 final class AdapterSlots {
 
-    private final Set<AdapterKey> placed = new HashSet<>();
-    private final Set<AdapterKey> removed = new HashSet<>();
+    private final Set<AdapterKey> occupying = new HashSet<>();
+    private final Set<AdapterKey> unloaded = new HashSet<>();
 
     /** Notes that an adapter has been ordered. */
     void markLoaded(AdapterKey key) {
-        placed.add(key);
-        removed.remove(key);
+        occupying.add(key);
+        unloaded.remove(key);
     }
 
     /** Notes that an adapter is unloaded for certain. */
     void markUnloaded(AdapterKey key) {
-        placed.remove(key);
-        removed.add(key);
+        occupying.remove(key);
+        unloaded.add(key);
     }
 
     /** Notes that a model is unloaded for certain, and its adapters with it. */
     void markUnloaded(ModelId model) {
-        placed.removeIf(key -> key.model().equals(model));
-        removed.removeIf(key -> key.model().equals(model));
+        occupying.removeIf(key -> key.model().equals(model));
+        unloaded.removeIf(key -> key.model().equals(model));
     }
 
     /** Takes in the engine's own account. */
-    void addReported(List<ModelCopy> account) {
-        account.forEach(copy -> addAll(copy, placed));
-        placed.removeAll(removed);
+    void addReported(List<ModelCopy> reported) {
+        reported.forEach(copy -> addAll(copy, occupying));
+        occupying.removeAll(unloaded);
     }
 
     /** Takes in a heartbeat: one that no longer shows an unloaded adapter needs no correction. */
     void onHeartbeat(Instance report) {
-        Set<AdapterKey> shown = shown(report);
-        removed.removeIf(key -> !shown.contains(key));
+        Set<AdapterKey> shown = adaptersOf(report);
+        unloaded.removeIf(key -> !shown.contains(key));
     }
 
     /** Returns the adapters that are resident or may be. */
     Set<AdapterKey> occupied(Instance report) {
-        Set<AdapterKey> all = shown(report);
-        all.removeAll(removed);
-        all.addAll(placed);
+        Set<AdapterKey> all = adaptersOf(report);
+        all.removeAll(unloaded);
+        all.addAll(occupying);
         return all;
     }
 
-    private static Set<AdapterKey> shown(Instance report) {
+    private static Set<AdapterKey> adaptersOf(Instance report) {
         Set<AdapterKey> shown = new HashSet<>();
         report.models().forEach(copy -> addAll(copy, shown));
         return shown;
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineCapacity.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineCapacity.java
@@ -28,9 +28,9 @@
     private static final double BAD_SHARE = 0.25;
 
     /** One window with many slow answers may have other causes. */
-    private static final double FALL = 0.1;
+    private static final double DECREASE_FACTOR = 0.1;
 
-    private static final int LEAST_ANSWERS = 4;
+    private static final int MIN_ANSWERS = 4;
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final Map<UpstreamId, Window> windows = new HashMap<>();
@@ -48,7 +48,7 @@
 
     /** Takes in what a host says of each engine since it told last. */
     void recordWork(Map<UpstreamId, InstanceWork> work, long now) {
-        work.forEach((id, told) -> add(id, told, now));
+        work.forEach((id, reported) -> add(id, reported, now));
         windows.values().removeIf(window -> now - window.since > 2 * WINDOW_NANOS);
     }
 
@@ -56,19 +56,19 @@
         return requestsPerSecond;
     }
 
-    private void add(UpstreamId id, InstanceWork told, long now) {
+    private void add(UpstreamId id, InstanceWork reported, long now) {
         Window window = windows.computeIfAbsent(id, key -> new Window(now));
-        window.answered += told.answered();
-        window.slow += told.slow();
+        window.answered += reported.answered();
+        window.slow += reported.slow();
         long length = now - window.since;
         if (length >= WINDOW_NANOS) {
-            judge(window, length);
+            evaluate(window, length);
             windows.remove(id);
         }
     }
 
-    private void judge(Window window, long length) {
-        if (window.answered < LEAST_ANSWERS) {
+    private void evaluate(Window window, long length) {
+        if (window.answered < MIN_ANSWERS) {
             return;
         }
         double rate = window.answered * NANOS_PER_SECOND / length;
@@ -76,7 +76,7 @@
         if (slowShare <= GOOD_SHARE) {
             requestsPerSecond = Math.max(requestsPerSecond, rate);
         } else if (slowShare >= BAD_SHARE && rate < requestsPerSecond) {
-            requestsPerSecond += (rate - requestsPerSecond) * FALL;
+            requestsPerSecond += (rate - requestsPerSecond) * DECREASE_FACTOR;
         }
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineTracker.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineTracker.java
@@ -21,16 +21,16 @@
     private static final long OVERDUE_NANOS = Duration.ofSeconds(3).toNanos();
 
     /** Accounts lag by some hundred milliseconds; one read earlier says nothing new. */
-    private static final long REREAD_NANOS = Duration.ofMillis(400).toNanos();
+    private static final long REPORT_RETRY_NANOS = Duration.ofMillis(400).toNanos();
 
     /** An account is older than this at most. */
-    private static final long LONGEST_LAG_NANOS = Duration.ofSeconds(1).toNanos();
+    private static final long MAX_REPORT_AGE_NANOS = Duration.ofSeconds(1).toNanos();
 
     /** What an engine held when it was first heard of has been there for longer than any load. */
-    private static final long HELD_BEFORE_NANOS = Duration.ofMinutes(1).toNanos();
+    private static final long INITIAL_AGE_NANOS = Duration.ofMinutes(1).toNanos();
 
     /** An unload waits for the runs of its model; by then what was wanted instead may be stale. */
-    private static final long LONGEST_UNLOAD_NANOS = Duration.ofSeconds(5).toNanos();
+    private static final long MAX_UNLOAD_NANOS = Duration.ofSeconds(5).toNanos();
 
     /** A lost answer is asked for again by the same order after this. */
     private static final long RESEND_NANOS = Duration.ofMillis(300).toNanos();
@@ -42,31 +42,31 @@
     private EngineOrder unansweredOrder;
 
     /** The order for a model that has been taken and is not seen to be done. */
-    private EngineOrder underWay;
+    private EngineOrder orderInProgress;
 
     /** A load that was neither taken nor refused for certain: it may have been carried out. */
-    private EngineOrder doubtful;
+    private EngineOrder uncertainLoad;
 
-    private long doubtfulSince;
+    private long uncertainSince;
 
     /** What an unload makes room for; it is loaded as soon as the unload is done. */
     private ModelId nextLoad;
 
     private long nextLoadSince;
-    private final ReportedModels account = new ReportedModels();
+    private final ReportedModels reportedModels = new ReportedModels();
     private long takenAt;
-    private long lostAt;
-    private long leastTaken;
-    private boolean reading;
-    private long nextReadAt;
+    private long answerLostAt;
+    private long minOrdersTaken;
+    private boolean reportPending;
+    private long nextReportAt;
 
     /** The newest heartbeat when another instance answered at the address, or -1. */
-    private long absentAt = -1;
+    private long displacedAt = -1;
 
     private final Reachability reachability;
-    private boolean isLost;
+    private boolean lost;
     private boolean resting;
-    private boolean heard;
+    private boolean heartbeatSeen;
     private final Map<ModelId, Long> residentSince = new HashMap<>();
     private final AdapterSlots slots = new AdapterSlots();
     private final AdapterQueue adapterQueue = new AdapterQueue();
@@ -87,7 +87,7 @@
 
     /** Returns whether the engine counts as serving nobody until its next heartbeat. */
     boolean isLost() {
-        return isLost;
+        return lost;
     }
 
     /** Notes that the engine wants nothing from this host for some time. */
@@ -98,134 +98,142 @@
 
     /** Takes in what the engine said last, which may be what it had said before. */
     void onHeartbeat(Instance report, long now) {
-        boolean newer = !heard || report.sequence() > instance.sequence();
+        boolean newer = !heartbeatSeen || report.sequence() > instance.sequence();
         instance = report;
         if (newer) {
-            takeIn(report, now);
+            applyHeartbeat(report, now);
         }
-        endModelOrder();
-        isLost = absentAt >= 0 || reachability.isLost(now);
+        completeModelOrder();
+        lost = displacedAt >= 0 || reachability.isLost(now);
         resting = reachability.isResting(now);
     }
 
-    private void takeIn(Instance report, long now) {
+    private void applyHeartbeat(Instance report, long now) {
         reachability.recordHeartbeat(now);
-        absentAt = -1;
+        displacedAt = -1;
         slots.onHeartbeat(report);
-        long seen = heard ? now : now - HELD_BEFORE_NANOS;
-        heard = true;
-        report.models().forEach(copy -> residentSince.putIfAbsent(copy.model(), seen));
+        long firstSeen = heartbeatSeen ? now : now - INITIAL_AGE_NANOS;
+        heartbeatSeen = true;
+        report.models().forEach(copy -> residentSince.putIfAbsent(copy.model(), firstSeen));
         residentSince.keySet().removeIf(model -> report.copyOf(model).isEmpty());
     }
 
     /** The heartbeat that shows an order done may come before the answer to the order. */
-    private void endModelOrder() {
-        boolean concernsModel = underWay != null && underWay.adapter().isEmpty();
+    private void completeModelOrder() {
+        boolean concernsModel = orderInProgress != null && orderInProgress.adapter().isEmpty();
         boolean done =
-                concernsModel && instance.copyOf(underWay.model()).isPresent() == underWay.load();
+                concernsModel
+                        && instance.copyOf(orderInProgress.model()).isPresent()
+                                == orderInProgress.load();
         if (!done) {
             return;
         }
-        if (!underWay.load()) {
-            account.remove(underWay.model());
-            slots.markUnloaded(underWay.model());
+        if (!orderInProgress.load()) {
+            reportedModels.remove(orderInProgress.model());
+            slots.markUnloaded(orderInProgress.model());
         }
-        underWay = null;
+        orderInProgress = null;
     }
 
     /** Returns the models that it holds by its heartbeat or by its own word. */
     List<ModelCopy> models() {
         List<ModelCopy> models = new ArrayList<>(instance.models());
-        models.addAll(unseenModels());
+        models.addAll(modelsMissingFromHeartbeat());
         return models;
     }
 
-    private List<ModelCopy> unseenModels() {
-        return account.missingFrom(instance).stream()
+    private List<ModelCopy> modelsMissingFromHeartbeat() {
+        return reportedModels.missingFrom(instance).stream()
                 .filter(copy -> !isLoading(copy.model()))
                 .toList();
     }
 
     /** Takes in the engine's own account; the newest there is of how many orders it has taken. */
     void onReport(EngineReport report, long now) {
-        reading = false;
+        reportPending = false;
         if (report.isOfOtherIncarnation(instance.id())) {
-            nextReadAt = now + REREAD_NANOS;
+            nextReportAt = now + REPORT_RETRY_NANOS;
             return;
         }
-        boolean stale = unansweredOrder == null && report.ordersTaken() < leastTaken;
+        boolean stale = unansweredOrder == null && report.ordersTaken() < minOrdersTaken;
         if (stale) {
-            nextReadAt = now + REREAD_NANOS;
+            nextReportAt = now + REPORT_RETRY_NANOS;
             return;
         }
-        account.replace(report.models(), now);
+        reportedModels.replace(report.models(), now);
         slots.addReported(report.models());
-        if (report.busy() && underWay == null) {
-            nextReadAt = now + REREAD_NANOS;
+        if (report.busy() && orderInProgress == null) {
+            nextReportAt = now + REPORT_RETRY_NANOS;
             return;
         }
         ordersTaken = report.ordersTaken();
-        if (doubtful != null && now - doubtfulSince > LONGEST_LAG_NANOS) {
-            doubtful = null;
+        if (uncertainLoad != null && now - uncertainSince > MAX_REPORT_AGE_NANOS) {
+            uncertainLoad = null;
         }
         if (unansweredOrder != null && ordersTaken != unansweredOrder.expectedTaken()) {
             unansweredOrder = null;
         }
-        if (underWay != null && !report.busy() && now - takenAt > overdueAfter()) {
-            endOverdue(report);
+        if (orderInProgress != null && !report.busy() && now - takenAt > overdueAfter()) {
+            completeOverdue(report);
         }
     }
 
     /** An adapter that is still in use goes on taking its slot, and the engine no other order. */
-    private void endOverdue(EngineReport report) {
-        if (underWay.adapter().isPresent()) {
+    private void completeOverdue(EngineReport report) {
+        if (orderInProgress.adapter().isPresent()) {
             boolean held =
                     report.models().stream()
-                            .filter(copy -> copy.model().equals(underWay.model()))
-                            .anyMatch(copy -> copy.adapters().contains(underWay.adapter().get()));
+                            .filter(copy -> copy.model().equals(orderInProgress.model()))
+                            .anyMatch(
+                                    copy ->
+                                            copy.adapters()
+                                                    .contains(orderInProgress.adapter().get()));
             if (held) {
                 return;
             }
-            noteAdapter(underWay);
+            recordAdapter(orderInProgress);
         }
-        underWay = null;
+        orderInProgress = null;
     }
 
     void onReportFailed(long now) {
-        reading = false;
-        nextReadAt = now + REREAD_NANOS;
+        reportPending = false;
+        nextReportAt = now + REPORT_RETRY_NANOS;
     }
 
     /** Returns whether the engine's account is needed now, and marks it as being read. */
     boolean startReportRequest(long now) {
-        boolean overdue = underWay != null && now - takenAt > overdueAfter();
+        boolean overdue = orderInProgress != null && now - takenAt > overdueAfter();
         overdue |=
-                doubtful != null
-                        || (!account.missingFrom(instance).isEmpty()
-                                && now - account.reportedAt() > OVERDUE_NANOS);
-        boolean needed = (ordersTaken < 0 || overdue) && !isLost && !resting;
-        if (reading || !needed || now - nextReadAt < 0) {
+                uncertainLoad != null
+                        || (!reportedModels.missingFrom(instance).isEmpty()
+                                && now - reportedModels.reportedAt() > OVERDUE_NANOS);
+        boolean needed = (ordersTaken < 0 || overdue) && !lost && !resting;
+        if (reportPending || !needed || now - nextReportAt < 0) {
             return false;
         }
-        reading = true;
-        nextReadAt = now + REREAD_NANOS;
+        reportPending = true;
+        nextReportAt = now + REPORT_RETRY_NANOS;
         return true;
     }
 
     /** Returns whether an order may be sent: while a model is loaded, engines refuse any other. */
     boolean isReadyForOrder() {
         return ordersTaken >= 0
-                && !isLost
+                && !lost
                 && !resting
                 && unansweredOrder == null
-                && !reading
-                && underWay == null
-                && doubtful == null;
+                && !reportPending
+                && orderInProgress == null
+                && uncertainLoad == null;
     }
 
     /** Returns whether the open order got no answer, so that it is to be sent again. */
     boolean isResendDue(long now) {
-        return unansweredOrder != null && lostAt != 0 && !resting && now - lostAt >= RESEND_NANOS;
+        return unansweredOrder != null
+                && answerLostAt != 0
+                && !resting
+                && now - answerLostAt >= RESEND_NANOS;
     }
 
     EngineOrder unansweredOrder() {
@@ -234,7 +242,7 @@
 
     /** Returns whether a model is about to be unloaded, or is being. */
     boolean isUnloadingModel() {
-        return isModelUnload(unansweredOrder) || isModelUnload(underWay);
+        return isModelUnload(unansweredOrder) || isModelUnload(orderInProgress);
     }
 
     /** Sets what is loaded once the model that is being unloaded is gone. */
@@ -247,18 +255,18 @@
     Optional<ModelId> pollNextLoad(long now) {
         ModelId model = nextLoad;
         nextLoad = null;
-        boolean old = now - nextLoadSince > LONGEST_UNLOAD_NANOS;
+        boolean old = now - nextLoadSince > MAX_UNLOAD_NANOS;
         return old ? Optional.empty() : Optional.ofNullable(model);
     }
 
     /** Returns the model that is being loaded, or may be, or is loaded next. */
     Optional<ModelId> loadingModel() {
-        return openLoad().or(() -> Optional.ofNullable(nextLoad));
+        return outstandingLoad().or(() -> Optional.ofNullable(nextLoad));
     }
 
-    private Optional<ModelId> openLoad() {
-        if (isModelLoad(underWay)) {
-            return Optional.of(underWay.model());
+    private Optional<ModelId> outstandingLoad() {
+        if (isModelLoad(orderInProgress)) {
+            return Optional.of(orderInProgress.model());
         }
         return isModelLoad(unansweredOrder)
                 ? Optional.of(unansweredOrder.model())
@@ -271,14 +279,14 @@
 
     void beginOrder(EngineOrder order) {
         unansweredOrder = order;
-        lostAt = 0;
+        answerLostAt = 0;
         if (order.load()) {
-            noteAdapter(order);
+            recordAdapter(order);
         }
     }
 
     void markResent() {
-        lostAt = 0;
+        answerLostAt = 0;
     }
 
     void onAnswer(EngineAnswer answer, long now) {
@@ -286,38 +294,38 @@
         switch (answer) {
             case TAKEN -> {
                 ordersTaken = order.expectedTaken() + 1;
-                leastTaken = ordersTaken;
-                boolean waitsForRuns = !order.load();
-                if (order.adapter().isEmpty() || waitsForRuns) {
-                    underWay = order;
+                minOrdersTaken = ordersTaken;
+                boolean waitsForRunningRequests = !order.load();
+                if (order.adapter().isEmpty() || waitsForRunningRequests) {
+                    orderInProgress = order;
                     takenAt = now;
                 } else {
-                    noteAdapter(order);
+                    recordAdapter(order);
                 }
                 unansweredOrder = null;
             }
             case HOLDS -> {
-                noteAdapter(order);
+                recordAdapter(order);
                 if (isModelLoad(order)) {
-                    account.add(order.model());
+                    reportedModels.add(order.model());
                 }
                 boolean doneAtOnce = !order.load();
                 ordersTaken = order.expectedTaken() + (doneAtOnce ? 1 : 0);
-                leastTaken = ordersTaken;
+                minOrdersTaken = ordersTaken;
                 unansweredOrder = null;
             }
             case CONFLICT, REFUSED, OTHER_INSTANCE, FENCED -> {
                 if (isModelLoad(order)) {
-                    doubtful = order;
-                    doubtfulSince = now;
+                    uncertainLoad = order;
+                    uncertainSince = now;
                 }
                 if (answer == EngineAnswer.OTHER_INSTANCE) {
-                    absentAt = instance.sequence();
-                    isLost = true;
+                    displacedAt = instance.sequence();
+                    lost = true;
                 }
-                countAgain(now, REREAD_NANOS);
+                resynchronize(now, REPORT_RETRY_NANOS);
             }
-            case UNKNOWN -> lostAt = now;
+            case UNKNOWN -> answerLostAt = now;
         }
     }
 
@@ -343,23 +351,26 @@
         for (AdapterKey key : adapters()) {
             used += spec.model(key.model()).map(ModelWeights::adapterMb).orElse(0.0);
         }
-        used += mayCome(underWay, spec) + mayCome(unansweredOrder, spec) + mayCome(doubtful, spec);
-        for (ModelCopy copy : unseenModels()) {
+        used +=
+                reservedMb(orderInProgress, spec)
+                        + reservedMb(unansweredOrder, spec)
+                        + reservedMb(uncertainLoad, spec);
+        for (ModelCopy copy : modelsMissingFromHeartbeat()) {
             used += weightsMb(copy.model(), spec);
         }
         return spec.weightsMb() - used;
     }
 
-    private void countAgain(long now, long pause) {
+    private void resynchronize(long now, long pause) {
         ordersTaken = -1;
-        leastTaken = 0;
-        nextReadAt = now + pause;
+        minOrdersTaken = 0;
+        nextReportAt = now + pause;
         unansweredOrder = null;
     }
 
-    private double mayCome(EngineOrder order, EngineSpec spec) {
-        boolean comes = isModelLoad(order) && instance.copyOf(order.model()).isEmpty();
-        return comes ? weightsMb(order.model(), spec) : 0;
+    private double reservedMb(EngineOrder order, EngineSpec spec) {
+        boolean reserves = isModelLoad(order) && instance.copyOf(order.model()).isEmpty();
+        return reserves ? weightsMb(order.model(), spec) : 0;
     }
 
     /** A model that is not configured may take everything. */
@@ -368,8 +379,8 @@
     }
 
     private boolean isLoading(ModelId model) {
-        return openLoad().filter(model::equals).isPresent()
-                || (doubtful != null && doubtful.model().equals(model));
+        return outstandingLoad().filter(model::equals).isPresent()
+                || (uncertainLoad != null && uncertainLoad.model().equals(model));
     }
 
     private static boolean isModelUnload(EngineOrder order) {
@@ -380,7 +391,7 @@
         return order != null && order.load() && order.adapter().isEmpty();
     }
 
-    private void noteAdapter(EngineOrder order) {
+    private void recordAdapter(EngineOrder order) {
         if (order.adapter().isEmpty()) {
             return;
         }
@@ -393,9 +404,9 @@
     }
 
     private long overdueAfter() {
-        if (underWay.adapter().isPresent()) {
-            return REREAD_NANOS;
+        if (orderInProgress.adapter().isPresent()) {
+            return REPORT_RETRY_NANOS;
         }
-        return underWay.fromStore() ? 5 * OVERDUE_NANOS : OVERDUE_NANOS;
+        return orderInProgress.fromStore() ? 5 * OVERDUE_NANOS : OVERDUE_NANOS;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineViewBuilder.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineViewBuilder.java
@@ -25,9 +25,9 @@
     private final EngineSpec spec;
 
     /** Creates the views of those engines of a service that are not lost. */
-    EngineViewBuilder(Collection<EngineTracker> all, ServiceName service, EngineSpec spec) {
+    EngineViewBuilder(Collection<EngineTracker> candidates, ServiceName service, EngineSpec spec) {
         this.engines =
-                all.stream()
+                candidates.stream()
                         .filter(engine -> engine.instance().service().equals(service))
                         .filter(engine -> !engine.isLost())
                         .toList();
@@ -72,12 +72,12 @@
                     new PlacementView.Held(
                             artifact(copy.model()), size, engine.residentSince(copy.model())));
         }
-        Map<ModelId, Duration> near = new HashMap<>();
+        Map<ModelId, Duration> localLoadTimes = new HashMap<>();
         for (ModelWeights weights : spec.models().values()) {
             if (instance.inHostMemory().contains(weights.model())) {
-                near.put(weights.model(), weights.loadFromMemory());
+                localLoadTimes.put(weights.model(), weights.loadFromMemory());
             } else if (instance.onDisk().contains(weights.model())) {
-                near.put(weights.model(), weights.loadFromDisk());
+                localLoadTimes.put(weights.model(), weights.loadFromDisk());
             }
         }
         return new PlacementView.Seat(
@@ -87,7 +87,7 @@
                 held,
                 !engine.isReadyForOrder(),
                 engine.loadingModel().map(EngineViewBuilder::artifact),
-                near,
+                localLoadTimes,
                 Optional.of(instance.zone()));
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/ModelDemand.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/ModelDemand.java
@@ -30,23 +30,23 @@
     private static final Duration RECENT_HALF_LIFE = Duration.ofSeconds(1);
 
     /** Standard deviations by which the recent count has to differ. */
-    private static final double RULED_OUT_DEVIATIONS = 3;
+    private static final double MAX_DEVIATIONS = 3;
 
     /**
      * For each copy there was at the first start, in requests a second: a third of its capacity.
      */
-    private static final double EXPECTED_BY_COPY = 3;
+    private static final double ASSUMED_RATE_PER_COPY = 3;
 
     /** By then the requests themselves tell. */
-    private static final long EXPECTATION_NANOS = Duration.ofSeconds(5).toNanos();
+    private static final long ASSUMPTION_NANOS = Duration.ofSeconds(5).toNanos();
 
     private final DemandTracker falling = new DemandTracker(FALL_HALF_LIFE);
     private final DemandTracker recent = new DemandTracker(RECENT_HALF_LIFE);
     private final DemandTracker rising = new DemandTracker(RISE_HALF_LIFE);
-    private final Map<ModelId, Double> expected = new HashMap<>();
+    private final Map<ModelId, Double> assumedRates = new HashMap<>();
     private final Map<ModelId, Long> starvedSince = new HashMap<>();
-    private boolean asked;
-    private long askedSince;
+    private boolean requestsSeen;
+    private long firstRequestAt;
 
     /** Takes in an entry host's counts of arrivals and waiting requests. */
     void recordReport(
@@ -54,32 +54,32 @@
         falling.recordReport(host, arrivals, waiting, now);
         rising.recordReport(host, arrivals, Map.of(), now);
         recent.recordReport(host, arrivals, Map.of(), now);
-        if (!asked && !arrivals.isEmpty()) {
-            asked = true;
-            askedSince = now;
+        if (!requestsSeen && !arrivals.isEmpty()) {
+            requestsSeen = true;
+            firstRequestAt = now;
         }
     }
 
     /** Takes several copies of a model for the expectation that it will be asked for. */
     void assumeDemand(ModelId model, int copies) {
-        if (!asked && copies > 1) {
-            expected.put(model, EXPECTED_BY_COPY * copies);
+        if (!requestsSeen && copies > 1) {
+            assumedRates.put(model, ASSUMED_RATE_PER_COPY * copies);
         }
     }
 
     double ratePerSecond(ModelId model, long now) {
-        boolean stillExpected = !asked || now - askedSince < EXPECTATION_NANOS;
-        double prior = stillExpected ? expected.getOrDefault(model, 0.0) : 0;
-        double slow = Math.min(falling.ratePerSecond(model, now), mostByRecent(model, now));
-        return Math.max(prior, Math.max(slow, rising.ratePerSecond(model, now)));
+        boolean stillAssumed = !requestsSeen || now - firstRequestAt < ASSUMPTION_NANOS;
+        double assumed = stillAssumed ? assumedRates.getOrDefault(model, 0.0) : 0;
+        double slow = Math.min(falling.ratePerSecond(model, now), maxRateByRecent(model, now));
+        return Math.max(assumed, Math.max(slow, rising.ratePerSecond(model, now)));
     }
 
     /** Returns the highest rate under which so few requests as of late are still likely. */
-    private double mostByRecent(ModelId model, long now) {
+    private double maxRateByRecent(ModelId model, long now) {
         double seconds = recent.meanLifeSeconds();
         double rate = recent.ratePerSecond(model, now);
         double deviation = Math.sqrt((rate + 1 / seconds) / seconds);
-        return rate + RULED_OUT_DEVIATIONS * deviation;
+        return rate + MAX_DEVIATIONS * deviation;
     }
 
     int waiting(ModelId model, long now) {
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/Reachability.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/Reachability.java
@@ -27,7 +27,7 @@
     private final Duration heartbeat;
     private final Set<HostId> timedOut = new HashSet<>();
     private boolean refused;
-    private long heardAt;
+    private long lastHeartbeatAt;
     private Optional<Long> restEndsAt = Optional.empty();
 
     Reachability(Duration heartbeat) {
@@ -36,7 +36,7 @@
 
     /** Notes a heartbeat that is newer than those before. */
     void recordHeartbeat(long now) {
-        heardAt = now;
+        lastHeartbeatAt = now;
         refused = false;
         timedOut.clear();
     }
@@ -66,7 +66,7 @@
 
     /** Returns whether the engine counts as lost until its next heartbeat. */
     boolean isLost(long now) {
-        double missed = (now - heardAt) / (double) heartbeat.toNanos();
+        double missed = (now - lastHeartbeatAt) / (double) heartbeat.toNanos();
         boolean silent = timedOut.size() >= HOSTS_WITH_TIMEOUTS;
         return (refused && missed > SILENCE_AFTER_REFUSAL)
                 || (silent && missed > SILENCE_AFTER_TIMEOUTS);
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/ReportedModels.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/ReportedModels.java
@@ -14,8 +14,8 @@
     private long reportedAt;
 
     /** Takes in what the engine's account lists. */
-    void replace(List<ModelCopy> listed, long now) {
-        models = List.copyOf(listed);
+    void replace(List<ModelCopy> reported, long now) {
+        models = List.copyOf(reported);
         reportedAt = now;
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyManager.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyManager.java
@@ -41,20 +41,20 @@
      * At the first start engines become known within two heartbeats. A decision taken earlier saw
      * one engine of eight and made room there for a model that three others held.
      */
-    private static final long SETTLE_NANOS = Duration.ofMillis(2500).toNanos();
+    private static final long DISCOVERY_NANOS = Duration.ofMillis(2500).toNanos();
 
     private final PlacementPolicy policy;
     private final Duration heartbeat;
-    private final StoreLoadLimiter store;
+    private final StoreLoadLimiter storeLimiter;
     private final ModelDemand demand = new ModelDemand();
-    private final EngineCapacity capacity = new EngineCapacity();
-    private final AdapterPlanner adapters = new AdapterPlanner();
+    private final EngineCapacity engineCapacity = new EngineCapacity();
+    private final AdapterPlanner adapterPlanner = new AdapterPlanner();
     private final Map<UpstreamId, EngineTracker> engines = new LinkedHashMap<>();
-    private Map<ServiceName, EngineSpec> setSpecs = Map.of();
-    private EvacuatedZones setEvacuatedZones = EvacuatedZones.none();
-    private Set<UpstreamId> setLimitedEngines = Set.of();
+    private Map<ServiceName, EngineSpec> specs = Map.of();
+    private EvacuatedZones evacuatedZones = EvacuatedZones.none();
+    private Set<UpstreamId> limitedEngines = Set.of();
     private long nextDecision;
-    private boolean learning;
+    private boolean discovering;
     private long firstEngineAt;
 
     /**
@@ -67,21 +67,21 @@
     public ResidencyManager(PlacementPolicy policy, Duration storeWindow, Duration heartbeat) {
         this.policy = policy;
         this.heartbeat = heartbeat;
-        this.store = new StoreLoadLimiter(storeWindow);
+        this.storeLimiter = new StoreLoadLimiter(storeWindow);
     }
 
     /** Takes over what the services' engines are like. */
     public void setSpecs(Map<ServiceName, EngineSpec> next) {
-        setSpecs = Map.copyOf(next);
-        setSpecs.values().forEach(spec -> store.setRate(spec.loadsPerSecond()));
+        specs = Map.copyOf(next);
+        specs.values().forEach(spec -> storeLimiter.setRate(spec.loadsPerSecond()));
     }
 
     /** Forgets every order: somebody else may have given others since. */
-    public void restart(boolean afterAnother, long now) {
+    public void restart(boolean hasPredecessor, long now) {
         engines.clear();
-        learning = !afterAnother;
-        if (afterAnother) {
-            store.exhaust(now);
+        discovering = !hasPredecessor;
+        if (hasPredecessor) {
+            storeLimiter.exhaust(now);
         }
     }
 
@@ -90,7 +90,7 @@
         Set<UpstreamId> usable = new HashSet<>();
         for (Instance instance : instances) {
             boolean serves = instance.state() == InstanceState.READY;
-            if (serves && setSpecs.containsKey(instance.service())) {
+            if (serves && specs.containsKey(instance.service())) {
                 usable.add(instance.id());
                 EngineTracker engine = engines.get(instance.id());
                 if (engine == null) {
@@ -106,7 +106,7 @@
 
     /** Takes over in which zones engines serve nobody, so that copies are wanted elsewhere. */
     public void setEvacuatedZones(EvacuatedZones next) {
-        setEvacuatedZones = next;
+        evacuatedZones = next;
     }
 
     /**
@@ -114,13 +114,13 @@
      * that is asked for more than its engine takes gets a further copy for that demand, while those
      * asked for rarely are served where they are.
      */
-    public void setLimitedEngines(Set<UpstreamId> named) {
-        setLimitedEngines = Set.copyOf(named);
+    public void setLimitedEngines(Set<UpstreamId> engineIds) {
+        limitedEngines = Set.copyOf(engineIds);
     }
 
-    private List<EngineTracker> inUse() {
+    private List<EngineTracker> usableEngines() {
         return engines.values().stream()
-                .filter(engine -> !setEvacuatedZones.contains(engine.instance().zone()))
+                .filter(engine -> !evacuatedZones.contains(engine.instance().zone()))
                 .toList();
     }
 
@@ -134,7 +134,7 @@
     public void recordWork(Map<UpstreamId, InstanceWork> work, long now) {
         Map<UpstreamId, InstanceWork> ofEngines = new HashMap<>(work);
         ofEngines.keySet().retainAll(engines.keySet());
-        capacity.recordWork(ofEngines, now);
+        engineCapacity.recordWork(ofEngines, now);
     }
 
     /**
@@ -161,7 +161,7 @@
 
     /** Notes that an adapter was asked for. */
     public void recordAdapterUse(ModelId model, String adapter, long now) {
-        adapters.recordUse(new AdapterKey(model, adapter), now);
+        adapterPlanner.recordUse(new AdapterKey(model, adapter), now);
     }
 
     /** Notes that requests wait for an adapter on an engine that holds its model. */
@@ -169,14 +169,14 @@
         recordAdapterUse(model, adapter, now);
         EngineTracker engine = engines.get(id);
         if (engine != null) {
-            freeEngine(engine, model).adapterQueue().add(new AdapterKey(model, adapter));
+            readyEngine(engine, model).adapterQueue().add(new AdapterKey(model, adapter));
         }
     }
 
     /** Returns an engine with the model that can take an order now, or else the one asked for. */
-    private EngineTracker freeEngine(EngineTracker asked, ModelId model) {
-        if (asked.isReadyForOrder()) {
-            return asked;
+    private EngineTracker readyEngine(EngineTracker requested, ModelId model) {
+        if (requested.isReadyForOrder()) {
+            return requested;
         }
         return engines.values().stream()
                 .filter(
@@ -184,7 +184,7 @@
                                 engine.instance().copyOf(model).isPresent()
                                         && engine.isReadyForOrder())
                 .min(Comparator.comparingInt(engine -> engine.adapters().size()))
-                .orElse(asked);
+                .orElse(requested);
     }
 
     /** Takes in the answer to an order. */
@@ -214,7 +214,7 @@
     }
 
     private Optional<Duration> loadTime(Instance instance, ModelId model) {
-        return Optional.ofNullable(setSpecs.get(instance.service()))
+        return Optional.ofNullable(specs.get(instance.service()))
                 .flatMap(spec -> spec.model(model))
                 .map(weights -> weights.loadTime(instance.inHostMemory(), instance.onDisk()));
     }
@@ -247,12 +247,12 @@
                 engine.markResent();
                 effects.add(new ResidencyEffect.Send(engine.unansweredOrder()));
             } else if (engine.isReadyForOrder()) {
-                nextOrder(engine, now).ifPresent(order -> begin(engine, order, effects, now));
+                nextOrder(engine, now).ifPresent(order -> sendOrder(engine, order, effects, now));
             }
         }
         if (now - nextDecision >= 0) {
             nextDecision = now + DECIDE_NANOS;
-            setSpecs.forEach((service, spec) -> decide(service, spec, effects, now));
+            specs.forEach((service, spec) -> decide(service, spec, effects, now));
         }
         return effects;
     }
@@ -262,15 +262,19 @@
         if (engines.isEmpty()) {
             return;
         }
-        EngineViewBuilder views = new EngineViewBuilder(inUse(), service, spec);
-        if (learning) {
+        EngineViewBuilder views = new EngineViewBuilder(usableEngines(), service, spec);
+        if (discovering) {
             views.copyCounts().forEach(demand::assumeDemand);
-            learning = now - firstEngineAt < SETTLE_NANOS;
+            discovering = now - firstEngineAt < DISCOVERY_NANOS;
         }
         PlacementView view =
-                views.view(demand, store.availableLoads(now), capacity.requestsPerSecond(), now);
-        boolean nobodyWaits = view.wants().stream().allMatch(want -> want.waiting() == 0);
-        if (learning && nobodyWaits) {
+                views.view(
+                        demand,
+                        storeLimiter.availableLoads(now),
+                        engineCapacity.requestsPerSecond(),
+                        now);
+        boolean nothingWaiting = view.wants().stream().allMatch(want -> want.waiting() == 0);
+        if (discovering && nothingWaiting) {
             return;
         }
         for (Move move : policy.decide(view)) {
@@ -283,11 +287,11 @@
                 case Move.Load ignored when engine.isUnloadingModel() ->
                         engine.loadAfterUnload(model, now);
                 case Move.Load ignored when engine.isReadyForOrder() ->
-                        modelLoad(engine, spec, model, now)
-                                .ifPresent(order -> begin(engine, order, effects, now));
+                        newModelLoad(engine, spec, model, now)
+                                .ifPresent(order -> sendOrder(engine, order, effects, now));
                 case Move.Unload ignored when engine.isReadyForOrder() -> {
                     EngineOrder order = newOrder(engine, false, model, Optional.empty(), false);
-                    begin(engine, order, effects, now);
+                    sendOrder(engine, order, effects, now);
                 }
                 default -> {
                     // An adapter order has come first; the policy decides anew within 100 ms.
@@ -297,22 +301,22 @@
     }
 
     private Optional<EngineOrder> nextOrder(EngineTracker engine, long now) {
-        EngineSpec spec = setSpecs.get(engine.instance().service());
+        EngineSpec spec = specs.get(engine.instance().service());
         Optional<ModelId> next = engine.pollNextLoad(now);
         if (spec == null) {
             return Optional.empty();
         }
-        return next.flatMap(model -> modelLoad(engine, spec, model, now))
+        return next.flatMap(model -> newModelLoad(engine, spec, model, now))
                 .or(() -> adapterOrder(engine, spec));
     }
 
-    private Optional<EngineOrder> modelLoad(
+    private Optional<EngineOrder> newModelLoad(
             EngineTracker engine, EngineSpec spec, ModelId model, long now) {
         boolean fromStore = !engine.instance().hasLocalWeights(model);
         Optional<ModelWeights> weights = spec.model(model);
         boolean fits = weights.isPresent() && weights.get().weightsMb() <= engine.freeMb(spec);
         boolean held = engine.instance().copyOf(model).isPresent();
-        if (!fits || held || (fromStore && store.availableLoads(now) < 1)) {
+        if (!fits || held || (fromStore && storeLimiter.availableLoads(now) < 1)) {
             return Optional.empty();
         }
         return Optional.of(newOrder(engine, true, model, Optional.empty(), fromStore));
@@ -320,8 +324,9 @@
 
     private Optional<EngineOrder> adapterOrder(EngineTracker engine, EngineSpec spec) {
         // An engine in need is not given work that nobody waits for.
-        boolean spare = !setLimitedEngines.contains(engine.instance().id());
-        return adapters.nextChange(engine, spec, spare)
+        boolean fillFreeSlots = !limitedEngines.contains(engine.instance().id());
+        return adapterPlanner
+                .nextChange(engine, spec, fillFreeSlots)
                 .map(
                         step ->
                                 newOrder(
@@ -348,11 +353,11 @@
                 fromStore);
     }
 
-    private void begin(
+    private void sendOrder(
             EngineTracker engine, EngineOrder order, List<ResidencyEffect> effects, long now) {
         engine.beginOrder(order);
         if (order.fromStore()) {
-            store.recordLoad(now);
+            storeLimiter.recordLoad(now);
         }
         if (!order.load()) {
             effects.add(
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/StoreLoadLimiter.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/StoreLoadLimiter.java
@@ -8,8 +8,8 @@
 final class StoreLoadLimiter {
 
     private final long windowNanos;
-    private final Deque<Long> begun = new ArrayDeque<>();
-    private int allowed;
+    private final Deque<Long> loadTimes = new ArrayDeque<>();
+    private int maxLoads;
 
     StoreLoadLimiter(Duration window) {
         this.windowNanos = window.toNanos();
@@ -17,25 +17,25 @@
 
     /** Sets how many loads a second the store allows. */
     void setRate(double loadsPerSecond) {
-        allowed = (int) Math.floor(loadsPerSecond * windowNanos / Duration.ofSeconds(1).toNanos());
+        maxLoads = (int) Math.floor(loadsPerSecond * windowNanos / Duration.ofSeconds(1).toNanos());
     }
 
     /** Takes all that may begin in one window as begun: a predecessor may have begun it. */
     void exhaust(long now) {
-        begun.clear();
-        for (int i = 0; i < allowed; i++) {
-            begun.addLast(now);
+        loadTimes.clear();
+        for (int i = 0; i < maxLoads; i++) {
+            loadTimes.addLast(now);
         }
     }
 
     int availableLoads(long now) {
-        while (!begun.isEmpty() && now - begun.peekFirst() > windowNanos) {
-            begun.removeFirst();
+        while (!loadTimes.isEmpty() && now - loadTimes.peekFirst() > windowNanos) {
+            loadTimes.removeFirst();
         }
-        return Math.max(0, allowed - begun.size());
+        return Math.max(0, maxLoads - loadTimes.size());
     }
 
     void recordLoad(long now) {
-        begun.addLast(now);
+        loadTimes.addLast(now);
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/fleet/EvacuatedZonesTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/fleet/EvacuatedZonesTest.java
@@ -23,21 +23,21 @@
     }
 
     @Property
-    boolean hostsThatAreToldTheSameAgreeInWhateverOrder(@ForAll List<Boolean> orders) {
+    boolean hostsThatReceiveTheSameUpdatesInAnyOrderAgree(@ForAll List<Boolean> orders) {
         EvacuatedZones state = EvacuatedZones.none();
-        EvacuatedZones forth = state;
-        EvacuatedZones back = state;
-        List<EvacuatedZones> told = new ArrayList<>();
+        EvacuatedZones inOrder = state;
+        EvacuatedZones inReverse = state;
+        List<EvacuatedZones> updates = new ArrayList<>();
         for (boolean starts : orders) {
             state = starts ? state.with(ZONE) : state.without(ZONE);
-            told.add(state);
+            updates.add(state);
         }
-        for (EvacuatedZones each : told) {
-            forth = forth.newer(each);
+        for (EvacuatedZones each : updates) {
+            inOrder = inOrder.newer(each);
         }
-        for (EvacuatedZones each : told.reversed()) {
-            back = back.newer(each);
+        for (EvacuatedZones each : updates.reversed()) {
+            inReverse = inReverse.newer(each);
         }
-        return forth.equals(state) && back.equals(state);
+        return inOrder.equals(state) && inReverse.equals(state);
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/fleet/InstanceTableTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/fleet/InstanceTableTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void drainingIsNotTakenBackByAReportThatWasOnItsWay() {
+    void drainingIsNotRevertedByALaterReport() {
         table.merge(instance("a", 5), 0);
         table.merge(instance("a", 7).withState(InstanceState.DRAINING), 0);
         table.merge(instance("a", 8), 0);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void drainingThatALaterReportHasOvertakenCounts() {
+    void drainingReportThatALaterReportHasOvertakenStillCounts() {
         table.merge(instance("a", 8), 0);
         assertThat(table.merge(instance("a", 7).withState(InstanceState.DRAINING), 0)).hasSize(1);
         assertThat(table.find(new UpstreamId("a")).orElseThrow())
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void whatIsGoneNeverComesBack() {
+    void goneInstanceNeverComesBack() {
         table.merge(instance("a", 5), 0);
         table.remove(new UpstreamId("a"));
         assertThat(table.merge(instance("a", 9), 0)).isEmpty();
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void wordOfSilenceFromBeforeALaterReportChangesNothing() {
+    void silentReportOlderThanALaterReportChangesNothing() {
         table.merge(instance("a", 6), 0);
         assertThat(table.merge(instance("a", 5).withState(InstanceState.SILENT), 0)).isEmpty();
     }
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void successorAtTheSameAddressTakesThePlaceOfOneThatIsSilent() {
+    void successorAtTheSameAddressReplacesASilentInstance() {
         table.merge(instance("old", "10.0.0.1:80", 90), 0);
         List<Instance> changed = table.merge(instance("new", "10.0.0.1:80", 1), 4 * SECOND);
         assertThat(changed)
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void upstreamThatStartsAgainUnderItsNameBeginsANewLife() {
+    void restartUnderTheSameNameBeginsANewIncarnation() {
         table.merge(incarnation("a", 100, 90, "old"), 0);
         assertThat(table.merge(incarnation("a", 200, 1), SECOND))
                 .extracting(Instance::state)
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void lateHeartbeatOfAnEarlierLifeChangesNothing() {
+    void lateHeartbeatOfAnEarlierIncarnationChangesNothing() {
         table.merge(incarnation("a", 100, 90), 0);
         table.merge(incarnation("a", 200, 1), SECOND);
         assertThat(table.merge(incarnation("a", 100, 91), 60 * SECOND)).isEmpty();
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void drainingOfAnEarlierLifeDoesNotBindTheNext() {
+    void drainingOfAnEarlierIncarnationDoesNotApplyToTheNext() {
         table.merge(incarnation("a", 100, 90).withState(InstanceState.DRAINING), 0);
         table.merge(incarnation("a", 200, 1), SECOND);
         assertThat(table.find(new UpstreamId("a", 200)).orElseThrow().state())
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void lifeThatEndedComesBackOnlyAsALaterOne() {
+    void goneIncarnationIsSucceededOnlyByALaterOne() {
         table.merge(incarnation("a", 100, 90), 0);
         table.remove(new UpstreamId("a"));
         assertThat(table.merge(incarnation("a", 100, 91), SECOND)).isEmpty();
@@ -130,14 +130,14 @@
     }
 
     @Test
-    void lateWordThatAnEarlierLifeEndsDoesNotEndTheNext() {
+    void lateRemovalOfAnEarlierIncarnationDoesNotRemoveTheNext() {
         table.merge(incarnation("a", 200, 1), 0);
         assertThat(table.remove(new UpstreamId("a", 100))).isEmpty();
         assertThat(table.find(new UpstreamId("a", 200))).isPresent();
     }
 
     @Test
-    void startOnAClockThatSteppedBackIsTakenOnceTheLifeBeforeIsNotHeardAnyMore() {
+    void startAfterAClockStepBackIsAcceptedOnceThePreviousIncarnationIsSilent() {
         table.merge(incarnation("a", 200, 90), 0);
         assertThat(table.merge(incarnation("a", 150, 1), SECOND)).isEmpty();
         assertThat(table.merge(incarnation("a", 150, 3), 3 * SECOND)).hasSize(2);
@@ -145,18 +145,18 @@
     }
 
     @Property(tries = 300)
-    void onlyTheLatestLifeOfANameIsKept(@ForAll long seed) {
+    void onlyTheLatestIncarnationOfANameIsKept(@ForAll long seed) {
         Random random = new Random(seed);
-        InstanceTable lives = new InstanceTable(SILENCE);
+        InstanceTable incarnations = new InstanceTable(SILENCE);
         long latest = 0;
         for (int number = 0; number < 20; number++) {
             long born = 100L + random.nextInt(5);
             latest = Math.max(latest, born);
             Instance report = incarnation("a", born, 1 + random.nextInt(6));
-            lives.merge(
+            incarnations.merge(
                     random.nextInt(4) == 0 ? report.withState(InstanceState.DRAINING) : report, 0);
             UpstreamId expected = new UpstreamId("a", latest);
-            assertThat(lives.all()).extracting(Instance::id).containsExactly(expected);
+            assertThat(incarnations.all()).extracting(Instance::id).containsExactly(expected);
         }
     }
 
@@ -166,9 +166,9 @@
         List<Instance> reports = new ArrayList<>();
         for (int number = 0; number < 12; number++) {
             String name = "i" + random.nextInt(3);
-            boolean tells = random.nextBoolean();
+            boolean hasStartTime = random.nextBoolean();
             Instance report =
-                    tells
+                    hasStartTime
                             ? incarnation(
                                     name + "t", 100L + random.nextInt(2), 1 + random.nextInt(6))
                             : instance(name, 1 + random.nextInt(6));
--- a/stackhall-core/src/test/java/io/stackhall/core/fleet/PrimarySelectorTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/fleet/PrimarySelectorTest.java
@@ -15,34 +15,34 @@
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
     private static final ZoneId HERE = new ZoneId("here");
     private static final ZoneId THERE = new ZoneId("there");
-    private static final HostId NEAR = new HostId("10.1.0.1:7");
-    private static final HostId FAR = new HostId("10.2.0.1:7");
+    private static final HostId LOCAL = new HostId("10.1.0.1:7");
+    private static final HostId REMOTE = new HostId("10.2.0.1:7");
 
-    private final PrimarySelector choice = new PrimarySelector(new HostId("10.1.0.9:7"), HERE);
+    private final PrimarySelector selector = new PrimarySelector(new HostId("10.1.0.9:7"), HERE);
 
     @Test
-    void hostOfTheOwnZoneIsTaken() {
-        assertThat(choice.select(Map.of(NEAR, HERE, FAR, THERE), 0)).contains(NEAR);
+    void hostOfTheOwnZoneIsPreferred() {
+        assertThat(selector.select(Map.of(LOCAL, HERE, REMOTE, THERE), 0)).contains(LOCAL);
     }
 
     @Test
-    void hostOfAnotherZoneIsTakenWhereTheOwnHasNone() {
-        assertThat(choice.select(Map.of(FAR, THERE), 0)).contains(FAR);
-        assertThat(choice.select(Map.of(), 0)).isEmpty();
+    void hostOfAnotherZoneIsUsedWhereTheOwnHasNone() {
+        assertThat(selector.select(Map.of(REMOTE, THERE), 0)).contains(REMOTE);
+        assertThat(selector.select(Map.of(), 0)).isEmpty();
     }
 
     @Test
-    void hostThatIsOutOfTouchIsLeftForAWhile() {
-        Map<HostId, ZoneId> both = Map.of(NEAR, HERE, FAR, THERE);
-        choice.recordDecline(NEAR, 0);
-        assertThat(choice.select(both, SECOND)).contains(FAR);
-        assertThat(choice.select(both, 3 * SECOND)).contains(NEAR);
+    void hostWithoutALeaderIsAvoidedForAWhile() {
+        Map<HostId, ZoneId> both = Map.of(LOCAL, HERE, REMOTE, THERE);
+        selector.recordDecline(LOCAL, 0);
+        assertThat(selector.select(both, SECOND)).contains(REMOTE);
+        assertThat(selector.select(both, 3 * SECOND)).contains(LOCAL);
     }
 
     @Test
-    void hostThatIsOutOfTouchIsBetterThanNone() {
-        choice.recordDecline(NEAR, 0);
-        assertThat(choice.select(Map.of(NEAR, HERE), SECOND)).contains(NEAR);
+    void hostWithoutALeaderIsBetterThanNone() {
+        selector.recordDecline(LOCAL, 0);
+        assertThat(selector.select(Map.of(LOCAL, HERE), SECOND)).contains(LOCAL);
     }
 
     @Test
--- a/stackhall-core/src/test/java/io/stackhall/core/fleet/UpdateUrgencyTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/fleet/UpdateUrgencyTest.java
@@ -12,7 +12,7 @@
     private static final Instance KNOWN = Instances.instance("a", 1, "m");
 
     @Test
-    void whatDecidesWhereRequestsGoIsToldAtOnce() {
+    void changesThatAffectRoutingAreUrgent() {
         assertThat(UpdateUrgency.of(Optional.empty(), KNOWN)).isEqualTo(UpdateUrgency.URGENT);
         assertThat(of(Instances.incarnation("a", 7, 1, "m"))).isEqualTo(UpdateUrgency.URGENT);
         assertThat(of(KNOWN.withState(InstanceState.DRAINING))).isEqualTo(UpdateUrgency.URGENT);
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void instanceThatTurnsColdIsToldAtOnceAndOneThatWarmsIsNot() {
+    void turningColdIsUrgentAndWarmingUpNeedsNoUpdate() {
         Instance cold = Instances.coldInstance("c", Duration.ofSeconds(3));
         Instance warm = Instances.coldInstance("c", Duration.ZERO);
         assertThat(UpdateUrgency.of(Optional.of(warm), cold)).isEqualTo(UpdateUrgency.URGENT);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void whatIsUnloadedIsToldWithOtherChangesAndARisenSequenceNever() {
+    void unloadIsBatchedAndAHigherSequenceAloneNeedsNoUpdate() {
         assertThat(of(Instances.instance("a", 2))).isEqualTo(UpdateUrgency.BATCHED);
         assertThat(of(Instances.instance("a", 2, "m"))).isEqualTo(UpdateUrgency.NONE);
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/placement/PlacementProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/placement/PlacementProperties.java
@@ -23,7 +23,7 @@
     }
 
     @Property(tries = 60, seed = "20261202")
-    void everyModelIsLoadedOnceTheNetworkIsWell(@ForAll long seed, @ForAll boolean checked) {
+    void everyModelIsLoadedOnceFaultsHaveStopped(@ForAll long seed, @ForAll boolean checked) {
         FakeZone zone = new FakeZone(seed, checked);
         zone.runWithFaults(200);
         zone.runWithoutFaults();
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/AdapterPlannerTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/AdapterPlannerTest.java
@@ -16,7 +16,7 @@
     private static final ModelId MODEL = new ModelId("a");
     private static final AdapterKey ADAPTER = new AdapterKey(MODEL, "a1");
 
-    private final AdapterPlanner steps = new AdapterPlanner();
+    private final AdapterPlanner planner = new AdapterPlanner();
     private final EngineTracker engine =
             new EngineTracker(instance("e", 1, "a"), Duration.ofMillis(1200));
     private final EngineSpec spec =
@@ -41,15 +41,15 @@
 
     @Test
     void freeSlotsAreFilled() {
-        assertThat(steps.nextChange(engine, spec, true))
+        assertThat(planner.nextChange(engine, spec, true))
                 .contains(new AdapterPlanner.Change(true, ADAPTER));
     }
 
     @Test
-    void engineWithALimitGetsOnlyAdaptersThatSomebodyWaitsFor() {
-        assertThat(steps.nextChange(engine, spec, false)).isEmpty();
+    void engineWithALimitLoadsOnlyRequestedAdapters() {
+        assertThat(planner.nextChange(engine, spec, false)).isEmpty();
         engine.adapterQueue().add(ADAPTER);
-        assertThat(steps.nextChange(engine, spec, false))
+        assertThat(planner.nextChange(engine, spec, false))
                 .contains(new AdapterPlanner.Change(true, ADAPTER));
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/EngineCapacityTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/EngineCapacityTest.java
@@ -19,20 +19,20 @@
     private long now;
 
     @Test
-    void rateThatIsAnsweredInTimeIsWithinIt() {
-        answers(3, 0, 30);
+    void rateAnsweredInTimeIsWithinCapacity() {
+        recordAnswers(3, 0, 30);
         assertThat(capacity.requestsPerSecond()).isCloseTo(30, within(3.0));
     }
 
     @Test
-    void rateThatIsAnsweredSlowlyIsBeyondIt() {
-        answers(3, 0, 30);
-        answers(1, 1, 300);
+    void rateAnsweredSlowlyIsBeyondCapacity() {
+        recordAnswers(3, 0, 30);
+        recordAnswers(1, 1, 300);
         assertThat(capacity.requestsPerSecond()).isBetween(10.0, 15.0);
     }
 
     @Test
-    void fewAnswersTellNothing() {
+    void fewAnswersLeaveTheEstimateUnchanged() {
         for (int i = 0; i < 20; i++) {
             now += 5 * STEP;
             capacity.recordWork(Map.of(ENGINE, new InstanceWork(1, 1, 1)), now);
@@ -40,7 +40,7 @@
         assertThat(capacity.requestsPerSecond()).isEqualTo(8);
     }
 
-    private void answers(int answered, int slow, int times) {
+    private void recordAnswers(int answered, int slow, int times) {
         for (int i = 0; i < times; i++) {
             now += STEP;
             capacity.recordWork(Map.of(ENGINE, new InstanceWork(9, answered, slow)), now);
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/EngineIncarnationTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/EngineIncarnationTest.java
@@ -14,15 +14,15 @@
 class EngineIncarnationTest extends ResidencyManagerFixture {
 
     @Test
-    void engineThatStartsAgainUnderItsNameIsCountedAnew() {
+    void restartedEngineIsCountedFromZero() {
         manager.updateInstances(List.of(incarnation("e", 100, 90, "a")), now);
-        readLife(100, 7);
+        reportOrdersTaken(100, 7);
         requestsWaitFor("b");
         EngineOrder open = onlyOrder();
         manager.onAnswer(open, EngineAnswer.UNKNOWN, now);
         manager.updateInstances(List.of(incarnation("e", 200, 1)), now);
         advanceMillis(3000);
-        readLife(200, 0);
+        reportOrdersTaken(200, 0);
         requestsWaitFor("b");
         EngineOrder order = onlyOrder();
         assertThat(order.instance()).isEqualTo(new UpstreamId("e", 200));
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void accountOfAnEarlierLifeIsNotCounted() {
+    void reportOfAnEarlierIncarnationIsIgnored() {
         manager.updateInstances(List.of(incarnation("e", 200, 1)), now);
         manager.onReport(
                 new UpstreamId("e", 200),
@@ -40,11 +40,11 @@
         requestsWaitFor("b");
         assertThat(orders()).isEmpty();
         advanceMillis(500);
-        readLife(200, 0);
+        reportOrdersTaken(200, 0);
         assertThat(onlyOrder().expectedTaken()).isZero();
     }
 
-    private void readLife(long born, long taken) {
+    private void reportOrdersTaken(long born, long taken) {
         manager.onReport(
                 new UpstreamId("e", born), new EngineReport(born, taken, false, List.of()), now);
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/LimitedEnginesReplayTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/LimitedEnginesReplayTest.java
@@ -18,26 +18,26 @@
     private static final double PER_SECOND = 1;
 
     @Test
-    void engineThatTakesLittleIsBetterPlacedOnThanLeftOut() {
+    void placingOnLimitedEnginesServesMoreInTimeThanLeavingThemOut() {
         assertThat(urgentInTime(false)).isGreaterThan(urgentInTime(true));
         assertThat(patientInTime(false)).isGreaterThan(patientInTime(true));
     }
 
     private static double urgentInTime(boolean leftOut) {
         return LongStream.range(0, SEEDS)
-                .mapToDouble(seed -> play(seed, leftOut).urgentInTime())
+                .mapToDouble(seed -> run(seed, leftOut).urgentInTime())
                 .average()
                 .orElseThrow();
     }
 
     private static double patientInTime(boolean leftOut) {
         return LongStream.range(0, SEEDS)
-                .mapToDouble(seed -> play(seed, leftOut).patientInTime())
+                .mapToDouble(seed -> run(seed, leftOut).patientInTime())
                 .average()
                 .orElseThrow();
     }
 
-    private static PlacementReplay.Outcome play(long seed, boolean leftOut) {
+    private static PlacementReplay.Outcome run(long seed, boolean leftOut) {
         return new PlacementReplay(
                         seed,
                         PlacementPolicy.of(PolicyName.NEAREST_COPY),
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/ModelDemandTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ModelDemandTest.java
@@ -17,7 +17,7 @@
     private final ModelDemand demand = new ModelDemand();
 
     @Test
-    void severalCopiesAtTheStartCountUntilRequestsTell() {
+    void severalCopiesAtTheStartCountAsDemandUntilRequestsArrive() {
         demand.assumeDemand(MODEL, 2);
         assertThat(demand.ratePerSecond(MODEL, at(60_000))).isEqualTo(6);
         demand.recordReport(HOST, Map.of(new ModelId("other"), 1), Map.of(), at(60_000));
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void oneCopyTellsNothing() {
+    void oneCopyImpliesNoDemand() {
         demand.assumeDemand(MODEL, 1);
         assertThat(demand.ratePerSecond(MODEL, at(0))).isZero();
     }
@@ -42,7 +42,7 @@
 
     /** Demand for one model of 30 a second that moves away at once. */
     @Test
-    void fallOfABusyModelIsBelievedWithinFiveSeconds() {
+    void fallOfABusyModelIsAcceptedWithinFiveSeconds() {
         for (int tenth = 1; tenth <= 100; tenth++) {
             demand.recordReport(HOST, Map.of(MODEL, 3), Map.of(), at(tenth * 100L));
         }
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void waitingForAModelThatNobodyServesAddsUp() {
+    void waitingForAModelThatNoEngineServesAccumulates() {
         demand.recordReport(HOST, Map.of(MODEL, 1), Map.of(MODEL, 1), at(0));
         assertThat(demand.starvedSeconds(MODEL, false, at(0))).isZero();
         assertThat(demand.starvedSeconds(MODEL, false, at(1500))).isEqualTo(1.5);
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/OrderHandoverProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/OrderHandoverProperties.java
@@ -24,42 +24,44 @@
     private final OrderHandover handover = new OrderHandover(false, PAUSE);
 
     /** How a leader gives up an order that is not answered in time. */
-    private enum GivingUp {
+    private enum Termination {
         CLOSE,
         RESET
     }
 
     @Property
-    boolean orderThatIsResetNeverComesBehindTheNextLeaders(
+    boolean orderOnAResetConnectionNeverArrivesAfterTheNextLeadersFirst(
             @ForAll @LongRange(min = 0, max = LEASE - 1) long writtenAt,
-            @ForAll @LongRange(min = 1, max = 15_000) long cutFor,
+            @ForAll @LongRange(min = 1, max = 15_000) long partitionMillis,
             @ForAll @LongRange(min = 100, max = 1500) long firstPause,
-            @ForAll @LongRange(min = 0, max = 2000) long electionTakes) {
-        OptionalLong delivered = delivered(writtenAt, cutFor, firstPause, GivingUp.RESET);
-        return delivered.isEmpty() || delivered.getAsLong() < firstOfNext(electionTakes);
+            @ForAll @LongRange(min = 0, max = 2000) long electionMillis) {
+        OptionalLong delivered =
+                delivered(writtenAt, partitionMillis, firstPause, Termination.RESET);
+        return delivered.isEmpty()
+                || delivered.getAsLong() < firstOrderOfNextLeader(electionMillis);
     }
 
     /** As it was seen: zone cut for 5.9 s, the next leader's first order 2.1 s before this one. */
     @Test
-    void orderThatIsMerelyClosedComesBehindTheNextLeaders() {
-        OptionalLong delivered = delivered(100, 5900, 300, GivingUp.CLOSE);
-        assertThat(delivered.orElseThrow()).isGreaterThan(firstOfNext(1000));
+    void orderOnAClosedConnectionArrivesAfterTheNextLeadersFirst() {
+        OptionalLong delivered = delivered(100, 5900, 300, Termination.CLOSE);
+        assertThat(delivered.orElseThrow()).isGreaterThan(firstOrderOfNextLeader(1000));
     }
 
     private static OptionalLong delivered(
-            long writtenAt, long cutFor, long firstPause, GivingUp givingUp) {
+            long writtenAt, long partitionMillis, long firstPause, Termination termination) {
         long at = writtenAt;
         long pause = firstPause;
-        while (at < cutFor) {
+        while (at < partitionMillis) {
             at += pause;
             pause *= 2;
         }
-        boolean gone = givingUp == GivingUp.RESET && at >= writtenAt + ANSWER;
-        return gone ? OptionalLong.empty() : OptionalLong.of(at);
+        boolean discarded = termination == Termination.RESET && at >= writtenAt + ANSWER;
+        return discarded ? OptionalLong.empty() : OptionalLong.of(at);
     }
 
-    private long firstOfNext(long electionTakes) {
-        long elected = LEASE + electionTakes;
+    private long firstOrderOfNextLeader(long electionMillis) {
+        long elected = LEASE + electionMillis;
         long at = elected;
         while (!handover.mayIssueOrders(Predecessor.UNREACHABLE, nanos(elected), nanos(at))) {
             at++;
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/OrderHandoverTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/OrderHandoverTest.java
@@ -16,25 +16,25 @@
     private final OrderHandover unfenced = new OrderHandover(false, PAUSE);
 
     @Test
-    void predecessorInReachIsAlwaysGivenItsTime() {
+    void reachablePredecessorIsAlwaysWaitedFor() {
         assertThat(fenced.mayIssueOrders(Predecessor.REACHABLE, ELECTED, after(2999))).isFalse();
         assertThat(fenced.mayIssueOrders(Predecessor.REACHABLE, ELECTED, after(3000))).isTrue();
     }
 
     @Test
-    void predecessorOutOfReachIsNotWaitedForWhereEnginesCheckTheFence() {
+    void unreachablePredecessorIsNotWaitedForWhereEnginesCheckFencing() {
         assertThat(fenced.mayIssueOrders(Predecessor.UNREACHABLE, ELECTED, after(0))).isTrue();
     }
 
     @Test
-    void predecessorOutOfReachIsGivenItsTimeWhereEnginesDoNot() {
+    void unreachablePredecessorIsWaitedForWhereEnginesDoNotCheckFencing() {
         assertThat(unfenced.mayIssueOrders(Predecessor.UNREACHABLE, ELECTED, after(2999)))
                 .isFalse();
         assertThat(unfenced.mayIssueOrders(Predecessor.UNREACHABLE, ELECTED, after(3000))).isTrue();
     }
 
     @Test
-    void firstGiverOfOrdersBeginsAtOnce() {
+    void firstOrderIssuerStartsAtOnce() {
         assertThat(unfenced.mayIssueOrders(Predecessor.NONE, ELECTED, after(0))).isTrue();
     }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementBenchmark.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementBenchmark.java
@@ -19,56 +19,61 @@
     private static final double NORMAL_95 = 1.96;
 
     @Test
-    void waysToTellDemand() {
-        List<PlacementReplay.Outcome> stands = play((model, asked, nearest) -> asked);
+    void compareDemandEstimates() {
+        List<PlacementReplay.Outcome> baseline = run((model, asked, nearest) -> asked);
         System.out.printf(
                 "BENCH requests urgent=%.4f patient=%.4f loads=%.1f%n",
-                mean(stands, PlacementReplay.Outcome::urgentInTime),
-                mean(stands, PlacementReplay.Outcome::patientInTime),
-                mean(stands, PlacementReplay.Outcome::loads));
-        Map<String, PlacementReplay.DemandEstimate> others = new LinkedHashMap<>();
-        others.put("by-load", (model, asked, nearest) -> asked * missed(model, nearest));
-        others.put(
+                mean(baseline, PlacementReplay.Outcome::urgentInTime),
+                mean(baseline, PlacementReplay.Outcome::patientInTime),
+                mean(baseline, PlacementReplay.Outcome::loads));
+        Map<String, PlacementReplay.DemandEstimate> alternatives = new LinkedHashMap<>();
+        alternatives.put(
+                "by-load", (model, asked, nearest) -> asked * shareOfObjective(model, nearest));
+        alternatives.put(
                 "half-by-load",
-                (model, asked, nearest) -> asked * (1 + missed(model, nearest)) / 2);
-        others.put(
+                (model, asked, nearest) -> asked * (1 + shareOfObjective(model, nearest)) / 2);
+        alternatives.put(
                 "patient-twice",
                 (model, asked, nearest) ->
                         model.kind() == PlacementReplay.Kind.PATIENT ? 2 * asked : asked);
-        others.forEach((name, way) -> compare(name, play(way), stands));
+        alternatives.forEach((name, estimate) -> compare(name, run(estimate), baseline));
     }
 
     /** Returns which part of the objective the nearest load takes, all of it at most. */
-    private static double missed(PlacementReplay.Model model, long nearestLoad) {
+    private static double shareOfObjective(PlacementReplay.Model model, long nearestLoad) {
         return Math.min(1, nearestLoad / (double) model.kind().objectiveMillis());
     }
 
-    private static List<PlacementReplay.Outcome> play(PlacementReplay.DemandEstimate way) {
+    private static List<PlacementReplay.Outcome> run(PlacementReplay.DemandEstimate estimate) {
         List<PlacementReplay.Outcome> all = new ArrayList<>();
         for (long seed = 0; seed < SEEDS; seed++) {
             PlacementPolicy policy = PlacementPolicy.of(PolicyName.NEAREST_COPY);
-            all.add(new PlacementReplay(seed, policy, way).run());
+            all.add(new PlacementReplay(seed, policy, estimate).run());
         }
         return all;
     }
 
     private static void compare(
-            String name, List<PlacementReplay.Outcome> way, List<PlacementReplay.Outcome> stands) {
+            String name,
+            List<PlacementReplay.Outcome> estimate,
+            List<PlacementReplay.Outcome> baseline) {
         System.out.printf(
                 "BENCH %s urgent %s patient %s loads %s%n",
                 name,
-                gain(way, stands, PlacementReplay.Outcome::urgentInTime),
-                gain(way, stands, PlacementReplay.Outcome::patientInTime),
-                gain(way, stands, PlacementReplay.Outcome::loads));
+                gain(estimate, baseline, PlacementReplay.Outcome::urgentInTime),
+                gain(estimate, baseline, PlacementReplay.Outcome::patientInTime),
+                gain(estimate, baseline, PlacementReplay.Outcome::loads));
     }
 
     private static String gain(
-            List<PlacementReplay.Outcome> way,
-            List<PlacementReplay.Outcome> stands,
+            List<PlacementReplay.Outcome> estimate,
+            List<PlacementReplay.Outcome> baseline,
             ToDoubleFunction<PlacementReplay.Outcome> figure) {
         List<Double> gains = new ArrayList<>();
         for (int seed = 0; seed < SEEDS; seed++) {
-            gains.add(figure.applyAsDouble(way.get(seed)) - figure.applyAsDouble(stands.get(seed)));
+            gains.add(
+                    figure.applyAsDouble(estimate.get(seed))
+                            - figure.applyAsDouble(baseline.get(seed)));
         }
         double mean = gains.stream().mapToDouble(Double::doubleValue).average().orElse(0);
         double square = gains.stream().mapToDouble(gain -> (gain - mean) * (gain - mean)).sum();
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplay.java
@@ -67,7 +67,7 @@
     private static final long LIMITED_FROM = 8_000;
     private static final int SHIFT_BY = 3;
     private static final int ENGINES = 13;
-    private static final int PLACES = 3;
+    private static final int MODEL_SLOTS = 3;
     private static final int URGENT_MODELS = 20;
     private static final int BUSY_MODELS = 7;
     private static final int PATIENT_MODELS = 37;
@@ -80,7 +80,7 @@
     private static final HostId HOST = new HostId("host");
 
     private final Random random;
-    private final DemandEstimate way;
+    private final DemandEstimate estimate;
     private final PlacementPolicy policy;
     private final ModelDemand demand = new ModelDemand();
     private final List<Model> models = new ArrayList<>();
@@ -98,10 +98,10 @@
 
     private record Request(long at) {}
 
-    PlacementReplay(long seed, PlacementPolicy policy, DemandEstimate way) {
+    PlacementReplay(long seed, PlacementPolicy policy, DemandEstimate estimate) {
         this.random = new Random(seed);
         this.policy = policy;
-        this.way = way;
+        this.estimate = estimate;
         for (int number = 0; number < URGENT_MODELS; number++) {
             models.add(new Model(new ModelId("u" + number), Kind.URGENT));
         }
@@ -112,7 +112,7 @@
             engines.add(new ReplayEngine(number));
         }
         models.forEach(model -> waiting.put(model, new ArrayDeque<>()));
-        fill();
+        placeInitialModels();
     }
 
     /**
@@ -137,7 +137,7 @@
             }
             engines.forEach(ReplayEngine::refillPermits);
             arrive(now);
-            endOrders(now);
+            completeOrders(now);
             if (now % DECIDE_EVERY == 0) {
                 decide(now);
             }
@@ -151,7 +151,7 @@
     }
 
     /** Busy models first, on several engines, then one copy of each while there is room. */
-    private void fill() {
+    private void placeInitialModels() {
         int at = 0;
         for (int copy = 0; copy < 2; copy++) {
             for (int number = 0; number < BUSY_MODELS; number++) {
@@ -160,7 +160,7 @@
         }
         for (Model model : models.subList(BUSY_MODELS, models.size())) {
             ReplayEngine engine = engines.get(at++ % ENGINES);
-            if (engine.held.size() < PLACES) {
+            if (engine.held.size() < MODEL_SLOTS) {
                 hold(engine, model.id());
             } else {
                 engine.cacheWeights(model.id());
@@ -219,7 +219,7 @@
                                 .thenComparingLong(engine -> engine.promptsReadAt));
     }
 
-    private void endOrders(long now) {
+    private void completeOrders(long now) {
         for (ReplayEngine engine : engines) {
             if (engine.orderEnds > now) {
                 continue;
@@ -238,23 +238,23 @@
     }
 
     private void load(ReplayEngine engine, ModelId model, long now) {
-        Optional<Long> near = engine.localLoadMillis(model);
+        Optional<Long> localLoad = engine.localLoadMillis(model);
         loads++;
-        storeLoads += near.isEmpty() ? 1 : 0;
+        storeLoads += localLoad.isEmpty() ? 1 : 0;
         engine.loading = Optional.of(model);
-        engine.fromStore = near.isEmpty();
-        engine.orderEnds = now + near.orElse(FROM_STORE);
+        engine.fromStore = localLoad.isEmpty();
+        engine.orderEnds = now + localLoad.orElse(FROM_STORE);
     }
 
     private void decide(long now) {
-        Map<ModelId, Integer> waits = new HashMap<>();
+        Map<ModelId, Integer> waitingCounts = new HashMap<>();
         waiting.forEach(
                 (model, requests) -> {
                     if (!requests.isEmpty()) {
-                        waits.put(model.id(), requests.size());
+                        waitingCounts.put(model.id(), requests.size());
                     }
                 });
-        demand.recordReport(HOST, Map.copyOf(arrivals), waits, nanos(now));
+        demand.recordReport(HOST, Map.copyOf(arrivals), waitingCounts, nanos(now));
         arrivals.clear();
         for (Move move : policy.decide(view(now))) {
             ReplayEngine engine =
@@ -288,13 +288,13 @@
             engine.held.forEach(
                     (model, since) ->
                             held.add(new PlacementView.Held(new Artifact(model, ""), 100, since)));
-            Map<ModelId, Duration> near = new HashMap<>();
+            Map<ModelId, Duration> localLoad = new HashMap<>();
             engine.disk.forEach(
-                    model -> near.put(model, Duration.ofMillis(ReplayEngine.FROM_DISK)));
+                    model -> localLoad.put(model, Duration.ofMillis(ReplayEngine.FROM_DISK)));
             engine.memory.forEach(
-                    model -> near.put(model, Duration.ofMillis(ReplayEngine.FROM_MEMORY)));
+                    model -> localLoad.put(model, Duration.ofMillis(ReplayEngine.FROM_MEMORY)));
             boolean busy = engine.orderEnds > now || !engine.nextLoads.isEmpty();
-            long free = (PLACES - held.size() - (engine.loading.isPresent() ? 1 : 0)) * 100L;
+            long free = (MODEL_SLOTS - held.size() - (engine.loading.isPresent() ? 1 : 0)) * 100L;
             seats.add(
                     new PlacementView.Seat(
                             engine.id,
@@ -303,7 +303,7 @@
                             held,
                             busy,
                             engine.loading.map(model -> new Artifact(model, "")),
-                            near,
+                            localLoad,
                             Optional.of(engine.zone)));
         }
         List<PlacementView.Want> wants = new ArrayList<>();
@@ -327,7 +327,7 @@
                 100,
                 Optional.empty(),
                 1,
-                way.rate(model, asked, nearest),
+                estimate.rate(model, asked, nearest),
                 demand.waiting(model.id(), nanos(now)),
                 demand.starvedSeconds(model.id(), resident, nanos(now)),
                 demand.lastUsed(model.id()),
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplayTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplayTest.java
@@ -15,16 +15,16 @@
     private static final int SEEDS = 3;
 
     @Test
-    void nearestCopiesServeBothKindsBetterThanTheLeastRecentlyUsed() {
+    void nearestCopyServesBothKindsBetterThanLeastRecentlyUsed() {
         for (long seed = 0; seed < SEEDS; seed++) {
-            PlacementReplay.Outcome nearest = play(seed, PolicyName.NEAREST_COPY);
-            PlacementReplay.Outcome least = play(seed, PolicyName.LEAST_RECENTLY_USED);
+            PlacementReplay.Outcome nearest = run(seed, PolicyName.NEAREST_COPY);
+            PlacementReplay.Outcome least = run(seed, PolicyName.LEAST_RECENTLY_USED);
             assertThat(nearest.urgentInTime()).isGreaterThan(least.urgentInTime());
             assertThat(nearest.patientInTime()).isGreaterThan(least.patientInTime());
         }
     }
 
-    private static PlacementReplay.Outcome play(long seed, PolicyName policy) {
+    private static PlacementReplay.Outcome run(long seed, PolicyName policy) {
         return new PlacementReplay(
                         seed, PlacementPolicy.of(policy), (model, asked, nearest) -> asked)
                 .run();
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/ReachabilityTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ReachabilityTest.java
@@ -16,24 +16,24 @@
     private final Reachability reachability = new Reachability(Duration.ofSeconds(1));
 
     @BeforeEach
-    void hear() {
+    void recordFirstHeartbeat() {
         reachability.recordHeartbeat(0);
     }
 
     @Test
-    void silenceAloneIsLeftToTheListOfUpstreams() {
+    void silenceAloneDoesNotMakeAnEngineLost() {
         assertThat(lostAfter(60_000)).isFalse();
     }
 
     @Test
-    void refusedConnectionCountsOnceAHeartbeatIsMissing() {
+    void refusedConnectionCountsOnceAHeartbeatIsMissed() {
         reachability.recordConnectFailure(FIRST, true);
         assertThat(lostAfter(1200)).isFalse();
         assertThat(lostAfter(1300)).isTrue();
     }
 
     @Test
-    void oneHostWithoutAnAnswerMayBeCutOffItself() {
+    void timeoutsCountOnlyWhenTwoHostsSeeThem() {
         reachability.recordConnectFailure(FIRST, false);
         reachability.recordConnectFailure(FIRST, false);
         assertThat(lostAfter(10_000)).isFalse();
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void heartbeatEndsIt() {
+    void heartbeatClearsConnectFailures() {
         reachability.recordConnectFailure(FIRST, true);
         reachability.recordHeartbeat(Duration.ofMillis(1500).toNanos());
         assertThat(lostAfter(10_000)).isFalse();
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/ReplayEngine.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ReplayEngine.java
@@ -15,7 +15,7 @@
     private static final int ZONES = 3;
     private static final int IN_MEMORY = 2;
     private static final int ON_DISK = 6;
-    private static final double MOST_PERMITS = 2;
+    private static final double MAX_PERMITS = 2;
     static final long FROM_MEMORY = 800;
     static final long FROM_DISK = 1_700;
     static final long STEP = 10;
@@ -45,7 +45,7 @@
 
     void refillPermits() {
         if (limited()) {
-            permits = Math.min(MOST_PERMITS, permits + perSecond * STEP / 1000);
+            permits = Math.min(MAX_PERMITS, permits + perSecond * STEP / 1000);
         }
     }
 
@@ -61,11 +61,11 @@
     }
 
     void cacheWeights(ModelId model) {
-        touch(memory, model, IN_MEMORY);
-        touch(disk, model, ON_DISK);
+        moveToFront(memory, model, IN_MEMORY);
+        moveToFront(disk, model, ON_DISK);
     }
 
-    private static void touch(Deque<ModelId> kept, ModelId model, int most) {
+    private static void moveToFront(Deque<ModelId> kept, ModelId model, int most) {
         kept.remove(model);
         kept.addFirst(model);
         while (kept.size() > most) {
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/ResidencyManagerTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ResidencyManagerTest.java
@@ -29,7 +29,7 @@
 
     @Test
     void orderFollowsTheEnginesOwnCount() {
-        count(7, false);
+        reportOrdersTaken(7, false);
         requestsWaitFor("b");
         EngineOrder order = onlyOrder();
         assertThat(order.load()).isTrue();
@@ -38,8 +38,8 @@
     }
 
     @Test
-    void lostAnswerIsAskedForByTheSameOrder() {
-        count(7, false);
+    void orderIsResentAfterItsAnswerIsLost() {
+        reportOrdersTaken(7, false);
         requestsWaitFor("b");
         EngineOrder order = onlyOrder();
         manager.onAnswer(order, EngineAnswer.UNKNOWN, now);
@@ -63,7 +63,7 @@
 
     @Test
     void loadThatWasCarriedOutThoughItsAnswerWasLostStaysCharged() {
-        count(7, false);
+        reportOrdersTaken(7, false);
         requestsWaitFor("b");
         EngineOrder order = onlyOrder();
         manager.onAnswer(order, EngineAnswer.UNKNOWN, now);
@@ -72,17 +72,17 @@
         manager.onAnswer(order, EngineAnswer.CONFLICT, now);
         advanceMillis(500);
         requestsWaitFor("c");
-        count(8, true);
+        reportOrdersTaken(8, true);
         advanceMillis(500);
         requestsWaitFor("c");
-        count(8, false);
+        reportOrdersTaken(8, false);
         advanceMillis(100);
         assertThat(orders()).noneMatch(sent -> sent.load() && sent.adapter().isEmpty());
     }
 
     @Test
     void adapterWaitsWhileItsEngineLoadsAModel() {
-        count(0, false);
+        reportOrdersTaken(0, false);
         requestsWaitFor("b");
         EngineOrder order = onlyOrder();
         manager.onAnswer(order, EngineAnswer.TAKEN, now);
@@ -96,7 +96,7 @@
 
     @Test
     void adapterIsOrderedOnAnotherEngineWhileTheOneAskedForIsBusy() {
-        count(0, false);
+        reportOrdersTaken(0, false);
         requestsWaitFor("b");
         manager.onAnswer(onlyOrder(), EngineAnswer.TAKEN, now);
         manager.updateInstances(List.of(instance("e", 1, "a"), instance("other", 1, "a")), now);
@@ -110,8 +110,8 @@
     }
 
     @Test
-    void adaptersThatNoHeartbeatHasToldOfStillTakeSlots() {
-        count(0, false);
+    void adaptersThatNoHeartbeatHasShownStillTakeSlots() {
+        reportOrdersTaken(0, false);
         for (String adapter : List.of("a1", "a2")) {
             manager.requestAdapter(ENGINE, new ModelId("a"), adapter, now);
             manager.onAnswer(onlyOrder(), EngineAnswer.TAKEN, now);
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void adaptersTakeSlotsThoughAHeartbeatFromBeforeIsNewerByFar() {
+    void adaptersKeepTheirSlotsThoughAStaleHeartbeatHasAMuchHigherSequence() {
         ModelCopy copy = new ModelCopy(new ModelId("a"), 1, Set.of("a1"));
         manager.step(now);
         manager.onReport(ENGINE, new EngineReport(0, 5, false, List.of(copy)), now);
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void modelOfTheAccountIsChargedThoughAHeartbeatFromBeforeIsNewerByFar() {
+    void reportedModelIsChargedThoughAStaleHeartbeatHasAMuchHigherSequence() {
         manager.updateInstances(List.of(instance("e", 1, "a")), now);
         ModelCopy a = new ModelCopy(new ModelId("a"), 1, Set.of());
         ModelCopy c = new ModelCopy(new ModelId("c"), 1, Set.of());
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void adaptersThatAPredecessorOrderedTakeSlotsThoughNoHeartbeatTells() {
+    void adaptersOrderedByAPredecessorTakeSlotsThoughNoHeartbeatShowsThem() {
         ModelCopy copy = new ModelCopy(new ModelId("a"), 1, Set.of("a1", "a2"));
         manager.step(now);
         manager.onReport(ENGINE, new EngineReport(0, 2, false, List.of(copy)), now);
@@ -156,7 +156,7 @@
 
     @Test
     void unloadThatIsDoneAtOnceCountsAsTaken() {
-        count(3, false);
+        reportOrdersTaken(3, false);
         for (String adapter : List.of("a1", "a2")) {
             manager.requestAdapter(ENGINE, new ModelId("a"), adapter, now);
             manager.onAnswer(onlyOrder(), EngineAnswer.TAKEN, now);
@@ -169,7 +169,7 @@
 
     @Test
     void adapterSlotsAreFreedBeforeTheyAreFilled() {
-        count(0, false);
+        reportOrdersTaken(0, false);
         for (String adapter : List.of("a1", "a2")) {
             manager.requestAdapter(ENGINE, new ModelId("a"), adapter, now);
             manager.onAnswer(onlyOrder(), EngineAnswer.TAKEN, now);
@@ -185,8 +185,8 @@
     }
 
     @Test
-    void adapterThatIsStillInUseTakesItsSlotUntilTheEngineSaysThatItIsGone() {
-        count(0, false);
+    void adapterStillInUseKeepsItsSlotUntilTheEngineReportsItGone() {
+        reportOrdersTaken(0, false);
         for (String adapter : List.of("a1", "a2")) {
             manager.requestAdapter(ENGINE, new ModelId("a"), adapter, now);
             manager.onAnswer(onlyOrder(), EngineAnswer.TAKEN, now);
@@ -195,18 +195,18 @@
         manager.requestAdapter(ENGINE, new ModelId("a"), "a3", now);
         assertThat(sent(manager.onAnswer(onlyOrder(), EngineAnswer.TAKEN, now))).isEmpty();
         advanceMillis(500);
-        accountsFor("a1", "a2");
+        reportAdapters("a1", "a2");
         assertThat(orders()).isEmpty();
         advanceMillis(500);
-        accountsFor("a2");
+        reportAdapters("a2");
         assertThat(onlyOrder().adapter()).contains("a3");
     }
 
     @Test
-    void engineThatIsGoneHoldsNothingAnyMore() {
+    void modelsOfAnEngineThatIsGoneAreLoadedElsewhere() {
         manager.updateInstances(
                 List.of(instance("e", 1, "a", "c"), instance("other", 1, "b")), now);
-        count(0, false);
+        reportOrdersTaken(0, false);
         manager.onReport(new UpstreamId("other"), new EngineReport(0, 0, false, List.of()), now);
         requestsWaitFor("b");
         assertThat(orders()).isEmpty();
@@ -216,48 +216,48 @@
     }
 
     @Test
-    void loadsFromTheStoreStayWithinItsWindow() {
-        StoreLoadLimiter window = new StoreLoadLimiter(Duration.ofSeconds(5));
-        window.setRate(1.4);
-        assertThat(window.availableLoads(now)).isEqualTo(7);
-        window.recordLoad(now);
-        assertThat(window.availableLoads(now)).isEqualTo(6);
-        window.exhaust(now);
-        assertThat(window.availableLoads(now)).isZero();
-        assertThat(window.availableLoads(now + Duration.ofSeconds(6).toNanos())).isEqualTo(7);
+    void loadsFromTheStoreStayWithinTheWindowsLimit() {
+        StoreLoadLimiter limiter = new StoreLoadLimiter(Duration.ofSeconds(5));
+        limiter.setRate(1.4);
+        assertThat(limiter.availableLoads(now)).isEqualTo(7);
+        limiter.recordLoad(now);
+        assertThat(limiter.availableLoads(now)).isEqualTo(6);
+        limiter.exhaust(now);
+        assertThat(limiter.availableLoads(now)).isZero();
+        assertThat(limiter.availableLoads(now + Duration.ofSeconds(6).toNanos())).isEqualTo(7);
     }
 
     @Test
-    void roomIsFilledByWhatItWasMadeFor() {
+    void modelThatAnUnloadMadeRoomForIsLoadedNext() {
         manager.updateInstances(List.of(instance("e", 1, "a", "c")), now);
-        count(0, false);
+        reportOrdersTaken(0, false);
         requestsWaitFor("b");
-        EngineOrder room = onlyOrder();
-        assertThat(room.load()).isFalse();
-        manager.onAnswer(room, EngineAnswer.TAKEN, now);
+        EngineOrder unload = onlyOrder();
+        assertThat(unload.load()).isFalse();
+        manager.onAnswer(unload, EngineAnswer.TAKEN, now);
         manager.updateInstances(
-                List.of(instance("e", 2, room.model().value().equals("a") ? "c" : "a")), now);
+                List.of(instance("e", 2, unload.model().value().equals("a") ? "c" : "a")), now);
         assertThat(onlyOrder()).matches(order -> order.load() && order.model().value().equals("b"));
     }
 
     @Test
-    void unloadedModelIsNotChargedByAnAccountFromBefore() {
+    void unloadedModelIsNotChargedByAnEarlierReport() {
         manager.updateInstances(List.of(instance("e", 1, "a", "c")), now);
         ModelCopy a = new ModelCopy(new ModelId("a"), 1, Set.of());
         ModelCopy c = new ModelCopy(new ModelId("c"), 1, Set.of());
         manager.step(now);
         manager.onReport(ENGINE, new EngineReport(0, 0, false, List.of(a, c)), now);
         requestsWaitFor("b");
-        EngineOrder room = onlyOrder();
-        manager.onAnswer(room, EngineAnswer.TAKEN, now);
+        EngineOrder unload = onlyOrder();
+        manager.onAnswer(unload, EngineAnswer.TAKEN, now);
         manager.updateInstances(
-                List.of(instance("e", 2, room.model().value().equals("a") ? "c" : "a")), now);
+                List.of(instance("e", 2, unload.model().value().equals("a") ? "c" : "a")), now);
         assertThat(onlyOrder()).matches(EngineOrder::load);
     }
 
     @Test
-    void engineWhoseAddressAnotherHasTakenIsLeftAloneUntilItSpeaks() {
-        count(0, false);
+    void engineWhoseAddressAnotherInstanceAnswersGetsNothingUntilItsNextHeartbeat() {
+        reportOrdersTaken(0, false);
         requestsWaitFor("b");
         manager.onAnswer(onlyOrder(), EngineAnswer.OTHER_INSTANCE, now);
         for (int i = 0; i < 20; i++) {
@@ -273,7 +273,7 @@
     void modelsOfAnEngineThatHasCrashedAreLoadedElsewhereAfterOneHeartbeat() {
         manager.updateInstances(
                 List.of(instance("e", 1, "a", "c"), instance("other", 1, "b")), now);
-        count(0, false);
+        reportOrdersTaken(0, false);
         manager.onReport(new UpstreamId("other"), new EngineReport(0, 0, false, List.of()), now);
         manager.recordConnectFailure(new UpstreamId("other"), new HostId("h"), true);
         requestsWaitFor("b");
@@ -286,21 +286,21 @@
     }
 
     @Test
-    void heartbeatThatComesBeforeTheAnswerToAnUnloadStillEndsIt() {
+    void heartbeatThatArrivesBeforeTheAnswerToAnUnloadCompletesIt() {
         manager.updateInstances(List.of(instance("e", 1, "a", "c")), now);
-        count(0, false);
+        reportOrdersTaken(0, false);
         requestsWaitFor("b");
-        EngineOrder room = onlyOrder();
-        String left = room.model().value().equals("a") ? "c" : "a";
+        EngineOrder unload = onlyOrder();
+        String left = unload.model().value().equals("a") ? "c" : "a";
         manager.updateInstances(List.of(instance("e", 2, left)), now);
-        manager.onAnswer(room, EngineAnswer.TAKEN, now);
+        manager.onAnswer(unload, EngineAnswer.TAKEN, now);
         manager.updateInstances(List.of(instance("e", 2, left)), now);
         assertThat(onlyOrder()).matches(order -> order.load() && order.model().value().equals("b"));
     }
 
     @Test
-    void modelThatTheEngineSaysItHoldsIsNotOrderedAgain() {
-        count(7, false);
+    void modelThatTheEngineAnswersItHoldsIsNotOrderedAgain() {
+        reportOrdersTaken(7, false);
         requestsWaitFor("b");
         EngineOrder order = onlyOrder();
         manager.onAnswer(order, EngineAnswer.HOLDS, now);
@@ -310,9 +310,9 @@
     }
 
     @Test
-    void engineThatHoldsNothingIsMissedAsWell() {
+    void engineWithoutModelsIsDetectedAsLostToo() {
         manager.updateInstances(List.of(instance("e", 1, "a", "c"), instance("empty", 1)), now);
-        count(0, false);
+        reportOrdersTaken(0, false);
         manager.onReport(new UpstreamId("empty"), new EngineReport(0, 0, false, List.of()), now);
         manager.recordConnectFailure(new UpstreamId("empty"), new HostId("h"), true);
         for (int tick = 0; tick < 40; tick++) {
@@ -324,10 +324,10 @@
     }
 
     @Test
-    void engineThatRefusesAConnectionAndGoesOnReportingIsCountedOn() {
+    void engineThatRefusesAConnectionButSendsHeartbeatsIsNotLost() {
         manager.updateInstances(
                 List.of(instance("e", 1, "a", "c"), instance("other", 1, "b")), now);
-        count(0, false);
+        reportOrdersTaken(0, false);
         manager.onReport(new UpstreamId("other"), new EngineReport(0, 0, false, List.of()), now);
         manager.recordConnectFailure(new UpstreamId("other"), new HostId("h"), true);
         advanceMillis(1500);
@@ -341,22 +341,22 @@
     }
 
     @Test
-    void nothingIsMovedBeforeTheFirstHeartbeatsOfAllEnginesHaveCome() {
+    void noModelIsMovedUntilAllEnginesHadTimeForTheirFirstHeartbeat() {
         manager.restart(false, now);
         manager.updateInstances(List.of(instance("e", 1, "a", "c")), now);
-        count(0, false);
+        reportOrdersTaken(0, false);
         assertThat(orders()).isEmpty();
         advanceMillis(3000);
         assertThat(orders()).isNotEmpty();
     }
 
-    private void accountsFor(String... adapters) {
+    private void reportAdapters(String... adapters) {
         manager.step(now);
         ModelCopy copy = new ModelCopy(new ModelId("a"), 1, Set.of(adapters));
         manager.onReport(ENGINE, new EngineReport(0, 3, false, List.of(copy)), now);
     }
 
-    private void count(long taken, boolean busy) {
+    private void reportOrdersTaken(long taken, boolean busy) {
         manager.step(now);
         manager.onReport(ENGINE, new EngineReport(0, taken, busy, List.of()), now);
     }
