--- a/stackhall-core/src/main/java/io/stackhall/core/residency/AdapterKey.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/AdapterKey.java
@@ -3,9 +3,9 @@
 import io.stackhall.core.id.ModelId;
 
 /**
- * Names an adapter.
+ * Identifies an adapter of a model.
  *
- * @param model the model that it belongs to
- * @param adapter its name among those of the model
+ * @param model the base model
+ * @param adapter the adapter name, unique within the model
  */
 record AdapterKey(ModelId model, String adapter) {}
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/AdapterPlanner.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/AdapterPlanner.java
@@ -12,26 +12,26 @@
 import java.util.Set;
 
 /**
- * Which adapter an engine loads next, and which one makes room for it.
+ * Chooses the adapter that an engine loads next, and the one to unload to free a slot for it.
  *
- * <p>Not thread-safe: one thread uses it.
+ * <p>Not thread-safe.
  */
 final class AdapterPlanner {
 
     private final Map<AdapterKey, Long> lastUsedAt = new HashMap<>();
 
-    /** An adapter that is to be loaded, or to make room. */
+    /** An adapter to load, or to unload in order to free a slot. */
     record Change(boolean load, AdapterKey key) {}
 
-    /** Notes that an adapter was asked for. */
+    /** Records that a request asked for an adapter. */
     void recordUse(AdapterKey key, long now) {
         lastUsedAt.put(key, now);
     }
 
     /**
-     * Returns what comes next on an engine.
+     * Returns the next adapter change of an engine, or empty if there is none.
      *
-     * @param fillFreeSlots whether free slots may be filled with adapters that nobody waits for
+     * @param fillFreeSlots whether free slots may be filled with adapters that no request waits for
      */
     Optional<Change> nextChange(EngineTracker engine, EngineSpec spec, boolean fillFreeSlots) {
         Optional<Change> requested = nextRequested(engine, spec);
@@ -62,8 +62,9 @@
     }
 
     /**
-     * Fills a free slot with an adapter that may be asked for: the one used last, or the first that
-     * the engine lacks. While an engine loads a model, for some seconds, it can be given none.
+     * Fills a free slot ahead of demand with the most recently used adapter that the engine lacks,
+     * or the first one if none has been used. Loading ahead matters because an engine accepts no
+     * adapter order for the seconds in which it loads a model.
      */
     private Optional<Change> fillFreeSlot(EngineTracker engine, EngineSpec spec) {
         Set<AdapterKey> occupied = engine.adapters();
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/AdapterQueue.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/AdapterQueue.java
@@ -4,7 +4,7 @@
 import java.util.Deque;
 import java.util.Optional;
 
-/** The adapters that requests wait for on one engine, in the order in which they were asked for. */
+/** The adapters that requests wait for on one engine, in order of request, without duplicates. */
 final class AdapterQueue {
 
     private final Deque<AdapterKey> keys = new ArrayDeque<>();
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/AdapterSlots.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/AdapterSlots.java
@@ -8,49 +8,66 @@
 import java.util.Set;
 
 /**
- * Which adapters take slots of one engine.
+ * Tracks which adapters occupy the adapter slots of one engine.
  *
- * <p>An adapter that was ordered, or that the engine's own account showed, takes its slot until it
- * or its model is unloaded by a later order. Heartbeats only add to that: one that does not show it
- * may have been made before, also where it is newer by many numbers than the last one that came
- * through. A cut that had just healed broke the bound of slots otherwise, once in 12 days.
+ * <p>An adapter that was ordered, or that the engine's status report lists, occupies its slot until
+ * a later order unloads it or its model. Heartbeats never free a slot: one that does not list the
+ * adapter may have been created before the adapter was loaded, even if its sequence number is far
+ * above that of the last heartbeat received. Freeing slots by heartbeat let the slot limit be
+ * exceeded once in 12 days, just after a network partition had healed.
  */
 final class AdapterSlots {
 
     private final Set<AdapterKey> occupying = new HashSet<>();
     private final Set<AdapterKey> unloaded = new HashSet<>();
 
-    /** Notes that an adapter has been ordered. */
-    void markLoaded(AdapterKey key) {
+    /** Records an order that has been sent or carried out; no effect if it concerns a model. */
+    void applyOrder(EngineOrder order) {
+        if (order.adapter().isEmpty()) {
+            return;
+        }
+        AdapterKey key = new AdapterKey(order.model(), order.adapter().get());
+        if (order.load()) {
+            markLoaded(key);
+        } else {
+            markUnloaded(key);
+        }
+    }
+
+    /** Records that the load of an adapter has been ordered. */
+    private void markLoaded(AdapterKey key) {
         occupying.add(key);
         unloaded.remove(key);
     }
 
-    /** Notes that an adapter is unloaded for certain. */
-    void markUnloaded(AdapterKey key) {
+    /** Records that an adapter is known to be unloaded. */
+    private void markUnloaded(AdapterKey key) {
         occupying.remove(key);
         unloaded.add(key);
     }
 
-    /** Notes that a model is unloaded for certain, and its adapters with it. */
+    /** Records that a model, and its adapters with it, is known to be unloaded. */
     void markUnloaded(ModelId model) {
         occupying.removeIf(key -> key.model().equals(model));
         unloaded.removeIf(key -> key.model().equals(model));
     }
 
-    /** Takes in the engine's own account. */
+    /** Adds the adapters listed in the engine's status report. */
     void addReported(List<ModelCopy> reported) {
         reported.forEach(copy -> addAll(copy, occupying));
         occupying.removeAll(unloaded);
     }
 
-    /** Takes in a heartbeat: one that no longer shows an unloaded adapter needs no correction. */
+    /**
+     * Updates the slots from a heartbeat. Once a heartbeat no longer lists an unloaded adapter,
+     * that adapter need not be subtracted from later ones.
+     */
     void onHeartbeat(Instance report) {
         Set<AdapterKey> shown = adaptersOf(report);
         unloaded.removeIf(key -> !shown.contains(key));
     }
 
-    /** Returns the adapters that are resident or may be. */
+    /** Returns the adapters that are, or may be, resident. */
     Set<AdapterKey> occupied(Instance report) {
         Set<AdapterKey> all = adaptersOf(report);
         all.removeAll(unloaded);
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineAnswer.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineAnswer.java
@@ -1,19 +1,22 @@
 package io.stackhall.core.residency;
 
-/** What an engine answers to an order. */
+/** The answer of an engine to an order. */
 public enum EngineAnswer {
-    /** The order is being carried out. */
+    /** The engine accepted the order and is carrying it out. */
     TAKEN,
-    /** A load that holds already, or an unload that was done at once and counts as taken. */
+    /**
+     * The requested state holds: the model or adapter was loaded already, or an unload completed at
+     * once, which the engine counts as an order taken.
+     */
     HOLDS,
-    /** Another order is under way, or the count of orders does not match. */
+    /** Another order is in progress, or the expected number of orders taken does not match. */
     CONFLICT,
-    /** Somebody with a higher fencing number gives orders now. */
+    /** An order issuer with a higher fencing number has taken over. */
     FENCED,
-    /** The engine at this address is another one. */
+    /** Another instance answered at this address. */
     OTHER_INSTANCE,
-    /** The engine knows no such order. */
+    /** The engine rejected the order as invalid: it knows no such order. */
     REFUSED,
-    /** Nothing is known of what became of it: it may be carried out, now or later. */
+    /** The outcome is unknown: the order may have been carried out, or may be carried out later. */
     UNKNOWN
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineCapacity.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineCapacity.java
@@ -8,26 +8,30 @@
 import java.util.Map;
 
 /**
- * How many requests a second keep one engine busy, learned from what engines have answered in time.
+ * Estimates the rate of requests per second that saturates one engine, from the answers that
+ * engines gave in time.
  *
- * <p>Engines differ: by the tokens that they read and make, by their slots, by the length of
- * answers. A rate at which first events come in time is within the capacity; one at which many are
- * slow is beyond it.
+ * <p>The rate is measured because it depends on the token throughput of the engine, its slots and
+ * the length of the answers. A rate at which first events arrive in time is within capacity; a rate
+ * at which many are slow exceeds it.
  *
- * <p>Not thread-safe: one thread uses it.
+ * <p>Not thread-safe.
  */
 final class EngineCapacity {
 
-    /** Several reports of each host, and some ten answers of a busy engine. */
+    /** Long enough for several reports of each host and about ten answers of a busy engine. */
     private static final long WINDOW_NANOS = Duration.ofSeconds(1).toNanos();
 
-    /** Up to this share of slow answers the rate is within the capacity. */
+    /** Up to this share of slow answers, the rate is within capacity. */
     private static final double GOOD_SHARE = 0.05;
 
-    /** From this share on it is beyond. */
+    /** From this share of slow answers on, the rate exceeds capacity. */
     private static final double BAD_SHARE = 0.25;
 
-    /** One window with many slow answers may have other causes. */
+    /**
+     * Part of the difference by which one slow window lowers the estimate; slow answers may have
+     * other causes.
+     */
     private static final double DECREASE_FACTOR = 0.1;
 
     private static final int MIN_ANSWERS = 4;
@@ -46,7 +50,7 @@
         }
     }
 
-    /** Takes in what a host says of each engine since it told last. */
+    /** Records the work that a host reports for each engine since its previous report. */
     void recordWork(Map<UpstreamId, InstanceWork> work, long now) {
         work.forEach((id, reported) -> add(id, reported, now));
         windows.values().removeIf(window -> now - window.since > 2 * WINDOW_NANOS);
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineOrder.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineOrder.java
@@ -5,15 +5,16 @@
 import java.util.Optional;
 
 /**
- * One order to an engine.
+ * An order to an engine to load or unload a model or adapter.
  *
- * @param instance who is to carry it out
- * @param address where it is sent, ip:port
- * @param load whether to load rather than to unload
+ * @param instance the engine that carries out the order
+ * @param address the address of the engine, as ip:port
+ * @param load true to load, false to unload
  * @param model the model concerned
- * @param adapter the adapter of that model, if the order concerns one alone
- * @param expectedTaken how many orders the engine must have taken before; otherwise it refuses
- * @param fromStore whether the load takes weights of a model from the weight store
+ * @param adapter the adapter, if the order concerns an adapter rather than the model
+ * @param expectedTaken the number of orders that the engine must have taken before this one; it
+ *     refuses the order otherwise
+ * @param fromStore whether the load reads model weights from the weight store
  */
 public record EngineOrder(
         UpstreamId instance,
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineReport.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineReport.java
@@ -5,21 +5,22 @@
 import java.util.List;
 
 /**
- * An engine's own account of itself, some hundred milliseconds old.
+ * The status report of an engine, read from the engine itself. Its content is some hundred
+ * milliseconds old.
  *
- * @param bornMillis when the engine started, in Unix milliseconds, or 0 where it does not tell
- * @param ordersTaken how many orders it has taken since its start
- * @param busy whether an order is under way
- * @param models what it serves
+ * @param bornMillis the start time of the engine in Unix milliseconds, or 0 if not reported
+ * @param ordersTaken the number of orders taken since the start
+ * @param busy whether an order is in progress
+ * @param models the models that the engine serves
  */
 public record EngineReport(
         long bornMillis, long ordersTaken, boolean busy, List<ModelCopy> models) {
-    /** Copies the list. */
+    /** Creates a report with a copy of the list. */
     public EngineReport {
         models = List.copyOf(models);
     }
 
-    /** Returns whether another life of the engine gave this account. */
+    /** Returns whether the report is of another incarnation than the given one. */
     boolean isOfOtherIncarnation(UpstreamId id) {
         return bornMillis != id.bornMillis() && bornMillis != UpstreamId.UNTOLD;
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineTracker.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineTracker.java
@@ -14,45 +14,39 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What one engine holds or may come to hold, and the orders to it that are open. */
+/** Tracks what one engine holds or may come to hold, and its outstanding order. */
 final class EngineTracker {
 
-    /** An order that is not seen to be done by then is looked into. */
+    /** An order without visible effect by then is checked with a status report. */
     private static final long OVERDUE_NANOS = Duration.ofSeconds(3).toNanos();
 
-    /** Accounts lag by some hundred milliseconds; one read earlier says nothing new. */
+    /** Status reports lag by some hundred ms; one requested earlier shows nothing new. */
     private static final long REPORT_RETRY_NANOS = Duration.ofMillis(400).toNanos();
 
-    /** An account is older than this at most. */
+    /** The maximum age of a status report. */
     private static final long MAX_REPORT_AGE_NANOS = Duration.ofSeconds(1).toNanos();
 
-    /** What an engine held when it was first heard of has been there for longer than any load. */
+    /** Dates back the models of the first heartbeat by more than any load takes. */
     private static final long INITIAL_AGE_NANOS = Duration.ofMinutes(1).toNanos();
 
-    /** An unload waits for the runs of its model; by then what was wanted instead may be stale. */
-    private static final long MAX_UNLOAD_NANOS = Duration.ofSeconds(5).toNanos();
-
-    /** A lost answer is asked for again by the same order after this. */
+    /** An order whose answer was lost is sent again after this time. */
     private static final long RESEND_NANOS = Duration.ofMillis(300).toNanos();
 
     private Instance instance;
     private long ordersTaken = -1;
 
-    /** The order whose answer is awaited or was lost. */
+    /** The order whose answer is pending or was lost. */
     private EngineOrder unansweredOrder;
 
-    /** The order for a model that has been taken and is not seen to be done. */
-    private EngineOrder orderInProgress;
+    /** The accepted order whose completion has not been observed yet. */
+    private EngineOrder inProgress;
 
-    /** A load that was neither taken nor refused for certain: it may have been carried out. */
-    private EngineOrder uncertainLoad;
+    /** A load that may have been carried out although the engine did not confirm it. */
+    private EngineOrder uncertain;
 
     private long uncertainSince;
 
-    /** What an unload makes room for; it is loaded as soon as the unload is done. */
-    private ModelId nextLoad;
-
-    private long nextLoadSince;
+    private final PendingLoad pendingLoad = new PendingLoad();
     private final ReportedModels reportedModels = new ReportedModels();
     private long takenAt;
     private long answerLostAt;
@@ -60,7 +54,7 @@
     private boolean reportPending;
     private long nextReportAt;
 
-    /** The newest heartbeat when another instance answered at the address, or -1. */
+    /** Heartbeat sequence when another instance answered at the address, or -1. */
     private long displacedAt = -1;
 
     private final Reachability reachability;
@@ -80,23 +74,27 @@
         return instance;
     }
 
-    /** Notes that a host cannot connect to the engine. */
+    /**
+     * Records that a host cannot connect to the engine.
+     *
+     * @param refused whether the connection was refused, rather than timed out
+     */
     void recordConnectFailure(HostId host, boolean refused) {
         reachability.recordConnectFailure(host, refused);
     }
 
-    /** Returns whether the engine counts as serving nobody until its next heartbeat. */
+    /** Returns whether the engine is considered lost until its next heartbeat. */
     boolean isLost() {
         return lost;
     }
 
-    /** Notes that the engine wants nothing from this host for some time. */
+    /** Records that the engine has asked this host to send nothing for some time. */
     void recordRest(Duration time, long now) {
         reachability.recordRest(time, now);
         resting = reachability.isResting(now);
     }
 
-    /** Takes in what the engine said last, which may be what it had said before. */
+    /** Updates the state from the latest heartbeat, which may be the same one as before. */
     void onHeartbeat(Instance report, long now) {
         boolean newer = !heartbeatSeen || report.sequence() > instance.sequence();
         instance = report;
@@ -118,24 +116,23 @@
         residentSince.keySet().removeIf(model -> report.copyOf(model).isEmpty());
     }
 
-    /** The heartbeat that shows an order done may come before the answer to the order. */
+    /** Completes a model order whose effect a heartbeat shows, maybe before its answer arrives. */
     private void completeModelOrder() {
-        boolean concernsModel = orderInProgress != null && orderInProgress.adapter().isEmpty();
+        boolean concernsModel = inProgress != null && inProgress.adapter().isEmpty();
         boolean done =
                 concernsModel
-                        && instance.copyOf(orderInProgress.model()).isPresent()
-                                == orderInProgress.load();
+                        && instance.copyOf(inProgress.model()).isPresent() == inProgress.load();
         if (!done) {
             return;
         }
-        if (!orderInProgress.load()) {
-            reportedModels.remove(orderInProgress.model());
-            slots.markUnloaded(orderInProgress.model());
+        if (!inProgress.load()) {
+            reportedModels.remove(inProgress.model());
+            slots.markUnloaded(inProgress.model());
         }
-        orderInProgress = null;
+        inProgress = null;
     }
 
-    /** Returns the models that it holds by its heartbeat or by its own word. */
+    /** Returns the models that the engine holds according to its heartbeat or its status report. */
     List<ModelCopy> models() {
         List<ModelCopy> models = new ArrayList<>(instance.models());
         models.addAll(modelsMissingFromHeartbeat());
@@ -148,7 +145,7 @@
                 .toList();
     }
 
-    /** Takes in the engine's own account; the newest there is of how many orders it has taken. */
+    /** Updates the state from a status report, the latest source of the order count. */
     void onReport(EngineReport report, long now) {
         reportPending = false;
         if (report.isOfOtherIncarnation(instance.id())) {
@@ -162,38 +159,35 @@
         }
         reportedModels.replace(report.models(), now);
         slots.addReported(report.models());
-        if (report.busy() && orderInProgress == null) {
+        if (report.busy() && inProgress == null) {
             nextReportAt = now + REPORT_RETRY_NANOS;
             return;
         }
         ordersTaken = report.ordersTaken();
-        if (uncertainLoad != null && now - uncertainSince > MAX_REPORT_AGE_NANOS) {
-            uncertainLoad = null;
+        if (uncertain != null && now - uncertainSince > MAX_REPORT_AGE_NANOS) {
+            uncertain = null;
         }
         if (unansweredOrder != null && ordersTaken != unansweredOrder.expectedTaken()) {
             unansweredOrder = null;
         }
-        if (orderInProgress != null && !report.busy() && now - takenAt > overdueAfter()) {
+        if (inProgress != null && !report.busy() && now - takenAt > overdueAfter()) {
             completeOverdue(report);
         }
     }
 
-    /** An adapter that is still in use goes on taking its slot, and the engine no other order. */
+    /** An adapter still in use keeps its slot, and blocks other orders until it is unloaded. */
     private void completeOverdue(EngineReport report) {
-        if (orderInProgress.adapter().isPresent()) {
+        if (inProgress.adapter().isPresent()) {
             boolean held =
                     report.models().stream()
-                            .filter(copy -> copy.model().equals(orderInProgress.model()))
-                            .anyMatch(
-                                    copy ->
-                                            copy.adapters()
-                                                    .contains(orderInProgress.adapter().get()));
+                            .filter(copy -> copy.model().equals(inProgress.model()))
+                            .anyMatch(copy -> copy.adapters().contains(inProgress.adapter().get()));
             if (held) {
                 return;
             }
-            recordAdapter(orderInProgress);
+            slots.applyOrder(inProgress);
         }
-        orderInProgress = null;
+        inProgress = null;
     }
 
     void onReportFailed(long now) {
@@ -201,11 +195,11 @@
         nextReportAt = now + REPORT_RETRY_NANOS;
     }
 
-    /** Returns whether the engine's account is needed now, and marks it as being read. */
+    /** Returns whether a status report is needed now, and if so marks it as requested. */
     boolean startReportRequest(long now) {
-        boolean overdue = orderInProgress != null && now - takenAt > overdueAfter();
+        boolean overdue = inProgress != null && now - takenAt > overdueAfter();
         overdue |=
-                uncertainLoad != null
+                uncertain != null
                         || (!reportedModels.missingFrom(instance).isEmpty()
                                 && now - reportedModels.reportedAt() > OVERDUE_NANOS);
         boolean needed = (ordersTaken < 0 || overdue) && !lost && !resting;
@@ -217,18 +211,18 @@
         return true;
     }
 
-    /** Returns whether an order may be sent: while a model is loaded, engines refuse any other. */
+    /** Returns whether an order may be sent; engines refuse orders while they load a model. */
     boolean isReadyForOrder() {
         return ordersTaken >= 0
                 && !lost
                 && !resting
                 && unansweredOrder == null
                 && !reportPending
-                && orderInProgress == null
-                && uncertainLoad == null;
+                && inProgress == null
+                && uncertain == null;
     }
 
-    /** Returns whether the open order got no answer, so that it is to be sent again. */
+    /** Returns whether the outstanding order got no answer and is due to be sent again. */
     boolean isResendDue(long now) {
         return unansweredOrder != null
                 && answerLostAt != 0
@@ -240,33 +234,29 @@
         return unansweredOrder;
     }
 
-    /** Returns whether a model is about to be unloaded, or is being. */
+    /** Returns whether the unload of a model is outstanding or in progress. */
     boolean isUnloadingModel() {
-        return isModelUnload(unansweredOrder) || isModelUnload(orderInProgress);
+        return isModelUnload(unansweredOrder) || isModelUnload(inProgress);
     }
 
-    /** Sets what is loaded once the model that is being unloaded is gone. */
+    /** Sets the model to load once the current unload has completed. */
     void loadAfterUnload(ModelId model, long now) {
-        nextLoad = model;
-        nextLoadSince = now;
+        pendingLoad.set(model, now);
     }
 
-    /** Returns what room was made for, once, unless making it has taken too long. */
+    /** Returns and clears the model to load after an unload; empty if the unload took too long. */
     Optional<ModelId> pollNextLoad(long now) {
-        ModelId model = nextLoad;
-        nextLoad = null;
-        boolean old = now - nextLoadSince > MAX_UNLOAD_NANOS;
-        return old ? Optional.empty() : Optional.ofNullable(model);
+        return pendingLoad.poll(now);
     }
 
-    /** Returns the model that is being loaded, or may be, or is loaded next. */
+    /** Returns the model that is or may be loading, or that is loaded next. */
     Optional<ModelId> loadingModel() {
-        return outstandingLoad().or(() -> Optional.ofNullable(nextLoad));
+        return outstandingLoad().or(pendingLoad::model);
     }
 
     private Optional<ModelId> outstandingLoad() {
-        if (isModelLoad(orderInProgress)) {
-            return Optional.of(orderInProgress.model());
+        if (isModelLoad(inProgress)) {
+            return Optional.of(inProgress.model());
         }
         return isModelLoad(unansweredOrder)
                 ? Optional.of(unansweredOrder.model())
@@ -281,7 +271,7 @@
         unansweredOrder = order;
         answerLostAt = 0;
         if (order.load()) {
-            recordAdapter(order);
+            slots.applyOrder(order);
         }
     }
 
@@ -297,15 +287,15 @@
                 minOrdersTaken = ordersTaken;
                 boolean waitsForRunningRequests = !order.load();
                 if (order.adapter().isEmpty() || waitsForRunningRequests) {
-                    orderInProgress = order;
+                    inProgress = order;
                     takenAt = now;
                 } else {
-                    recordAdapter(order);
+                    slots.applyOrder(order);
                 }
                 unansweredOrder = null;
             }
             case HOLDS -> {
-                recordAdapter(order);
+                slots.applyOrder(order);
                 if (isModelLoad(order)) {
                     reportedModels.add(order.model());
                 }
@@ -316,14 +306,14 @@
             }
             case CONFLICT, REFUSED, OTHER_INSTANCE, FENCED -> {
                 if (isModelLoad(order)) {
-                    uncertainLoad = order;
+                    uncertain = order;
                     uncertainSince = now;
                 }
                 if (answer == EngineAnswer.OTHER_INSTANCE) {
                     displacedAt = instance.sequence();
                     lost = true;
                 }
-                resynchronize(now, REPORT_RETRY_NANOS);
+                resynchronize(now);
             }
             case UNKNOWN -> answerLostAt = now;
         }
@@ -337,12 +327,12 @@
         return residentSince.getOrDefault(model, 0L);
     }
 
-    /** Returns the adapters that are resident or may be. */
+    /** Returns the adapters that are, or may be, resident. */
     Set<AdapterKey> adapters() {
         return slots.occupied(instance);
     }
 
-    /** Returns memory that nothing holds and no open order may come to hold, in MB. */
+    /** Returns the memory in MB neither occupied nor reserved for orders that may take effect. */
     double freeMb(EngineSpec spec) {
         double used = 0;
         for (ModelCopy copy : instance.models()) {
@@ -352,19 +342,19 @@
             used += spec.model(key.model()).map(ModelWeights::adapterMb).orElse(0.0);
         }
         used +=
-                reservedMb(orderInProgress, spec)
+                reservedMb(inProgress, spec)
                         + reservedMb(unansweredOrder, spec)
-                        + reservedMb(uncertainLoad, spec);
+                        + reservedMb(uncertain, spec);
         for (ModelCopy copy : modelsMissingFromHeartbeat()) {
             used += weightsMb(copy.model(), spec);
         }
         return spec.weightsMb() - used;
     }
 
-    private void resynchronize(long now, long pause) {
+    private void resynchronize(long now) {
         ordersTaken = -1;
         minOrdersTaken = 0;
-        nextReportAt = now + pause;
+        nextReportAt = now + REPORT_RETRY_NANOS;
         unansweredOrder = null;
     }
 
@@ -373,14 +363,14 @@
         return reserves ? weightsMb(order.model(), spec) : 0;
     }
 
-    /** A model that is not configured may take everything. */
+    /** Returns the size in MB; an unconfigured model may occupy all memory. */
     private static double weightsMb(ModelId model, EngineSpec spec) {
         return spec.model(model).map(ModelWeights::weightsMb).orElse(spec.weightsMb());
     }
 
     private boolean isLoading(ModelId model) {
         return outstandingLoad().filter(model::equals).isPresent()
-                || (uncertainLoad != null && uncertainLoad.model().equals(model));
+                || (uncertain != null && uncertain.model().equals(model));
     }
 
     private static boolean isModelUnload(EngineOrder order) {
@@ -391,22 +381,10 @@
         return order != null && order.load() && order.adapter().isEmpty();
     }
 
-    private void recordAdapter(EngineOrder order) {
-        if (order.adapter().isEmpty()) {
-            return;
-        }
-        AdapterKey key = new AdapterKey(order.model(), order.adapter().get());
-        if (order.load()) {
-            slots.markLoaded(key);
-        } else {
-            slots.markUnloaded(key);
-        }
-    }
-
     private long overdueAfter() {
-        if (orderInProgress.adapter().isPresent()) {
+        if (inProgress.adapter().isPresent()) {
             return REPORT_RETRY_NANOS;
         }
-        return orderInProgress.fromStore() ? 5 * OVERDUE_NANOS : OVERDUE_NANOS;
+        return inProgress.fromStore() ? 5 * OVERDUE_NANOS : OVERDUE_NANOS;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineViewBuilder.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineViewBuilder.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What the engines of one service hold, as a placement policy sees it. */
+/** Builds the view of the engines of one service from which a placement policy decides. */
 final class EngineViewBuilder {
 
     private static final String ANY_VERSION = "";
@@ -24,7 +24,7 @@
     private final List<EngineTracker> engines;
     private final EngineSpec spec;
 
-    /** Creates the views of those engines of a service that are not lost. */
+    /** Creates a builder over the engines of a service that are not lost. */
     EngineViewBuilder(Collection<EngineTracker> candidates, ServiceName service, EngineSpec spec) {
         this.engines =
                 candidates.stream()
@@ -34,7 +34,7 @@
         this.spec = spec;
     }
 
-    /** Returns how many engines hold each model. */
+    /** Returns the number of engines that hold each model. */
     Map<ModelId, Integer> copyCounts() {
         Map<ModelId, Integer> copies = new HashMap<>();
         for (EngineTracker engine : engines) {
@@ -44,9 +44,10 @@
     }
 
     /**
-     * Returns what a policy decides from.
+     * Returns the view for a placement decision.
      *
-     * @param storeLoads how many loads from the weight store may begin now
+     * @param storeLoads the number of loads from the weight store that may start now
+     * @param saturatingRate the request rate per second that saturates one engine
      */
     PlacementView view(ModelDemand demand, int storeLoads, double saturatingRate, long now) {
         List<PlacementView.Seat> seats = new ArrayList<>();
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/ModelDemand.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/ModelDemand.java
@@ -8,36 +8,50 @@
 import java.util.Map;
 
 /**
- * What is asked for: rises are seen within seconds, falls are believed later.
+ * Estimates the request rate of each model. The estimate follows a rise within seconds and a fall
+ * more slowly.
  *
- * <p>Until requests come, the models that several engines held at the first start count as asked
- * for: whoever filled the engines expected so. Without that, four of the copies that were busy a
- * few seconds later were unloaded on one day before the first request.
+ * <p>Until requests arrive, models that several engines hold at the first start are assumed to be
+ * in demand, since the engines were filled in that expectation. Without this assumption, four
+ * copies that were busy a few seconds later were unloaded before the first request in one day of
+ * load.
  */
 final class ModelDemand {
 
-    /** A model that is asked for every ten seconds should not look idle between two requests. */
+    /**
+     * Long enough that a model requested every ten seconds does not look idle between two requests.
+     */
     private static final Duration FALL_HALF_LIFE = Duration.ofSeconds(8);
 
-    /** A model whose demand jumps to 10 a second shows 5 a second after two. */
+    /**
+     * Two seconds after the demand for a model jumps to 10 requests a second, the estimate is 5 a
+     * second.
+     */
     private static final Duration RISE_HALF_LIFE = Duration.ofSeconds(2);
 
     /**
-     * A fall is believed as soon as the last seconds rule out the slower count: with the slower one
-     * alone a model that nobody asked for any more kept its three copies for some ten seconds,
-     * while the requests for its successor were refused.
+     * A fall is accepted as soon as the recent rate rules out the slower estimate. With the slower
+     * estimate alone, a model without requests kept its three copies for about ten seconds, while
+     * requests for the model that replaced it in demand were refused.
      */
     private static final Duration RECENT_HALF_LIFE = Duration.ofSeconds(1);
 
-    /** Standard deviations by which the recent count has to differ. */
+    /**
+     * The number of standard deviations by which the recent rate must differ to rule out the slower
+     * estimate.
+     */
     private static final double MAX_DEVIATIONS = 3;
 
     /**
-     * For each copy there was at the first start, in requests a second: a third of its capacity.
+     * The demand assumed for each copy at the first start, in requests per second: a third of the
+     * capacity of a copy.
      */
     private static final double ASSUMED_RATE_PER_COPY = 3;
 
-    /** By then the requests themselves tell. */
+    /**
+     * How long the assumed demand applies after the first request; measured demand suffices from
+     * then on.
+     */
     private static final long ASSUMPTION_NANOS = Duration.ofSeconds(5).toNanos();
 
     private final DemandTracker falling = new DemandTracker(FALL_HALF_LIFE);
@@ -48,7 +62,7 @@
     private boolean requestsSeen;
     private long firstRequestAt;
 
-    /** Takes in an entry host's counts of arrivals and waiting requests. */
+    /** Records an entry host's counts of arrived and waiting requests. */
     void recordReport(
             HostId host, Map<ModelId, Integer> arrivals, Map<ModelId, Integer> waiting, long now) {
         falling.recordReport(host, arrivals, waiting, now);
@@ -60,7 +74,7 @@
         }
     }
 
-    /** Takes several copies of a model for the expectation that it will be asked for. */
+    /** Assumes demand for a model that has several copies before any request has arrived. */
     void assumeDemand(ModelId model, int copies) {
         if (!requestsSeen && copies > 1) {
             assumedRates.put(model, ASSUMED_RATE_PER_COPY * copies);
@@ -74,7 +88,7 @@
         return Math.max(assumed, Math.max(slow, rising.ratePerSecond(model, now)));
     }
 
-    /** Returns the highest rate under which so few requests as of late are still likely. */
+    /** Returns the highest rate that is statistically consistent with the recent requests. */
     private double maxRateByRecent(ModelId model, long now) {
         double seconds = recent.meanLifeSeconds();
         double rate = recent.ratePerSecond(model, now);
@@ -90,7 +104,7 @@
         return falling.lastUsed(model, 0);
     }
 
-    /** Returns for how long requests have waited for a model that no engine serves, in seconds. */
+    /** Returns how long requests have waited for a model that no engine serves, in seconds. */
     double starvedSeconds(ModelId model, boolean resident, long now) {
         if (resident || waiting(model, now) == 0) {
             starvedSince.remove(model);
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/OrderHandover.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/OrderHandover.java
@@ -3,25 +3,25 @@
 import java.time.Duration;
 
 /**
- * When a new giver of orders begins.
+ * Decides when a new order issuer may start issuing orders.
  *
- * <p>A predecessor that may still act is given time to end. One that is out of reach, and so has
- * lost its lease before the election, is not waited for where engines themselves refuse its late
- * orders by their fencing numbers: on one day of load nobody gave orders for 8 s of 60, of which
- * 6.6 s were such pauses.
+ * <p>A predecessor that may still be active is given time to stop. An unreachable predecessor has
+ * lost its lease before the election, and is not waited for where engines refuse its late orders by
+ * their fencing numbers. Waiting in that case was costly: in one 60 s run under load no orders were
+ * issued for 8 s, of which 6.6 s were such pauses.
  */
 public final class OrderHandover {
 
     private final boolean fenceChecked;
     private final Duration pause;
 
-    /** What is known of the predecessor. */
+    /** The state of the previous order issuer. */
     public enum Predecessor {
-        /** Nobody has given orders, or an earlier process of this host has. */
+        /** No orders were issued before, or by an earlier process of this host. */
         NONE,
-        /** Its host is out of reach. */
+        /** Its host is unreachable. */
         UNREACHABLE,
-        /** Its host is in reach. */
+        /** Its host is reachable. */
         REACHABLE
     }
 
@@ -29,7 +29,7 @@
      * Creates the rule.
      *
      * @param fenceChecked whether engines refuse orders with an older fencing number
-     * @param pause how long a predecessor that may still act is given
+     * @param pause how long to wait for a predecessor that may still be active
      */
     public OrderHandover(boolean fenceChecked, Duration pause) {
         this.fenceChecked = fenceChecked;
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Returns whether a new giver of orders may begin.
+     * Returns whether the new order issuer may start.
      *
-     * @param electedAt when it was elected, on the monotonic clock in nanoseconds
+     * @param electedAt when the issuer was elected, on the monotonic clock in nanoseconds
      */
     public boolean mayIssueOrders(Predecessor predecessor, long electedAt, long now) {
         boolean waited = now - electedAt >= pause.toNanos();
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/Reachability.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/Reachability.java
@@ -7,19 +7,26 @@
 import java.util.Set;
 
 /**
- * Whether one engine is to be counted on, by its heartbeats and by who can connect to it, and
- * whether it wants to be called now. One that wants rest is well, and counted on.
+ * Tracks whether one engine is lost, by its heartbeats and by failed connections, and whether it
+ * has asked this host to send nothing for a while (a rest). An engine at rest is healthy and not
+ * lost.
  *
- * <p>By heartbeats alone an engine that has crashed is missed after five of them, 6 s; meanwhile
- * its models are not loaded elsewhere. An engine that refuses a connection because it has too many
- * still sends heartbeats, and so is not taken for lost.
+ * <p>With heartbeats alone, a crashed engine is detected after five missed heartbeats, 6 s, during
+ * which its models are not loaded elsewhere. An engine that refuses a connection because it has too
+ * many still sends heartbeats, and is therefore not considered lost.
  */
 final class Reachability {
 
-    /** In heartbeats: one that is due and has not come, after a refused connection. */
+    /**
+     * Silence in heartbeat intervals after which a refused connection counts: one heartbeat is
+     * overdue.
+     */
     private static final double SILENCE_AFTER_REFUSAL = 1.25;
 
-    /** In heartbeats: two have not come, and several hosts get no answer at all. */
+    /**
+     * Silence in heartbeat intervals after which connection timeouts of several hosts count: two
+     * heartbeats are overdue.
+     */
     private static final double SILENCE_AFTER_TIMEOUTS = 2.25;
 
     private static final int HOSTS_WITH_TIMEOUTS = 2;
@@ -34,7 +41,7 @@
         this.heartbeat = heartbeat;
     }
 
-    /** Notes a heartbeat that is newer than those before. */
+    /** Records a heartbeat that is newer than all before. */
     void recordHeartbeat(long now) {
         lastHeartbeatAt = now;
         refused = false;
@@ -42,9 +49,9 @@
     }
 
     /**
-     * Notes that a host cannot connect.
+     * Records that a host cannot connect.
      *
-     * @param refusal whether nobody listens, rather than nobody answering
+     * @param refusal whether the connection was refused, rather than timed out
      */
     void recordConnectFailure(HostId host, boolean refusal) {
         refused |= refusal;
@@ -53,18 +60,21 @@
         }
     }
 
-    /** Notes that the engine wants nothing from this host for some time; the later end counts. */
+    /**
+     * Records that the engine asked this host to send nothing for some time. Of several rests, the
+     * latest end applies.
+     */
     void recordRest(Duration time, long now) {
         long end = now + time.toNanos();
         restEndsAt = Optional.of(restEndsAt.filter(known -> known - end > 0).orElse(end));
     }
 
-    /** Returns whether the engine wants nothing from this host at present. */
+    /** Returns whether a rest is in effect. */
     boolean isResting(long now) {
         return restEndsAt.filter(end -> now - end < 0).isPresent();
     }
 
-    /** Returns whether the engine counts as lost until its next heartbeat. */
+    /** Returns whether the engine is considered lost until its next heartbeat. */
     boolean isLost(long now) {
         double missed = (now - lastHeartbeatAt) / (double) heartbeat.toNanos();
         boolean silent = timedOut.size() >= HOSTS_WITH_TIMEOUTS;
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/ReportedModels.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/ReportedModels.java
@@ -7,22 +7,25 @@
 import java.util.List;
 import java.util.Set;
 
-/** The models that an engine holds by its own account or answer, beside those of its heartbeats. */
+/**
+ * The models that an engine holds according to its status report or its answers, in addition to
+ * those in its heartbeats.
+ */
 final class ReportedModels {
 
     private List<ModelCopy> models = List.of();
     private long reportedAt;
 
-    /** Takes in what the engine's account lists. */
+    /** Replaces the models by those of a status report. */
     void replace(List<ModelCopy> reported, long now) {
         models = List.copyOf(reported);
         reportedAt = now;
     }
 
     /**
-     * Notes that the engine has answered that it holds a model. Until a heartbeat showed it, the
-     * same load was ordered every 100 ms, five times within half a second (one day of load, from
-     * the log).
+     * Adds a model that the engine has answered to hold. Without this, the same load was ordered
+     * every 100 ms until a heartbeat showed the model, five times within half a second in one day
+     * of load.
      */
     void add(ModelId model) {
         remove(model);
@@ -32,19 +35,20 @@
     }
 
     /**
-     * An account that was read before an unload no longer counts once the unload is done. While it
-     * did, all three models of an engine were unloaded one after the other to make room for one.
+     * Removes an unloaded model, because a report read before the unload still lists it. While such
+     * a report counted, all three models of an engine were unloaded one after the other to make
+     * room for one.
      */
     void remove(ModelId model) {
         models = models.stream().filter(copy -> !copy.model().equals(model)).toList();
     }
 
-    /** Returns the models that the engine's last heartbeat does not show. */
+    /** Returns the models that the engine's last heartbeat does not list. */
     List<ModelCopy> missingFrom(Instance instance) {
         return models.stream().filter(copy -> instance.copyOf(copy.model()).isEmpty()).toList();
     }
 
-    /** Returns when the account was read last, on the monotonic clock in nanoseconds. */
+    /** Returns when the last status report was read, on the monotonic clock in nanoseconds. */
     long reportedAt() {
         return reportedAt;
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyEffect.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyEffect.java
@@ -5,28 +5,28 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** What the keeper asks its driver to do. */
+/** An action that {@link ResidencyManager} asks its caller to perform. */
 public sealed interface ResidencyEffect {
 
-    /** Send an order, unless the lease has ended by then. */
+    /** Send an order, unless the leader lease has expired by then. */
     record Send(EngineOrder order) implements ResidencyEffect {}
 
-    /** Read an engine's account of itself. */
+    /** Read the status report of an engine. */
     record ReadReport(UpstreamId instance, String address) implements ResidencyEffect {}
 
     /**
-     * Tell the entry hosts that an engine has begun to load a model.
+     * Notify the entry hosts that an engine has started to load a model.
      *
-     * @param within how long the load takes
+     * @param loadTime the expected duration of the load
      */
     record NotifyLoading(UpstreamId instance, ModelId model, Duration loadTime)
             implements ResidencyEffect {}
 
     /**
-     * Tell the entry hosts what an engine holds now, or is about to hold no more.
+     * Notify the entry hosts that an engine holds a model or adapter, or is about to unload it.
      *
-     * @param adapter the adapter concerned, or nothing where the model itself is
-     * @param resident whether it is there, or about to go
+     * @param adapter the adapter concerned, or empty if the model itself is
+     * @param resident true if it is resident, false if it is about to be unloaded
      */
     record NotifyResidency(
             UpstreamId instance, ModelId model, Optional<String> adapter, boolean resident)
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyManager.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyManager.java
@@ -26,20 +26,21 @@
 import java.util.Set;
 
 /**
- * Keeps engines holding the models and adapters that are asked for, on the one host that may give
+ * Keeps requested models and adapters resident on engines. Runs on the one host that may issue
  * orders.
  *
- * <p>Each order names how many orders its engine must have taken, so that of several sends of it at
- * most one is carried out, and none after a newer order. An order whose answer is lost stays open
- * and is sent again until its engine says what became of it; its memory stays charged meanwhile.
+ * <p>Each order carries the number of orders that its engine must have taken before. If an order is
+ * sent several times, at most one copy is therefore carried out, and none after a newer order. An
+ * order whose answer is lost stays outstanding and is sent again until the engine reports its
+ * outcome; meanwhile its memory remains charged.
  */
 public final class ResidencyManager {
 
     private static final long DECIDE_NANOS = Duration.ofMillis(100).toNanos();
 
     /**
-     * At the first start engines become known within two heartbeats. A decision taken earlier saw
-     * one engine of eight and made room there for a model that three others held.
+     * At the first start, engines become known within two heartbeats. A decision taken earlier knew
+     * one of eight engines, and unloaded a model there to make room for one that three others held.
      */
     private static final long DISCOVERY_NANOS = Duration.ofMillis(2500).toNanos();
 
@@ -58,10 +59,10 @@
     private long firstEngineAt;
 
     /**
-     * Creates a keeper that knows no engine.
+     * Creates a manager without engines.
      *
      * @param policy decides which models are loaded and evicted
-     * @param storeWindow the window in which loads from the weight store are counted
+     * @param storeWindow the sliding window in which loads from the weight store are limited
      * @param heartbeat the interval of the engines' heartbeats
      */
     public ResidencyManager(PlacementPolicy policy, Duration storeWindow, Duration heartbeat) {
@@ -70,13 +71,18 @@
         this.storeLimiter = new StoreLoadLimiter(storeWindow);
     }
 
-    /** Takes over what the services' engines are like. */
+    /** Sets the engine specification of each service. */
     public void setSpecs(Map<ServiceName, EngineSpec> next) {
         specs = Map.copyOf(next);
         specs.values().forEach(spec -> storeLimiter.setRate(spec.loadsPerSecond()));
     }
 
-    /** Forgets every order: somebody else may have given others since. */
+    /**
+     * Discards the state of all engines, because another host may have issued orders since.
+     *
+     * @param hasPredecessor whether another host issued orders before; its loads from the weight
+     *     store are then assumed to use up the limit of the current window
+     */
     public void restart(boolean hasPredecessor, long now) {
         engines.clear();
         discovering = !hasPredecessor;
@@ -85,7 +91,9 @@
         }
     }
 
-    /** Takes in every instance that is known; an engine that is not among them is forgotten. */
+    /**
+     * Updates the engines from all known instances; engines that are not among them are removed.
+     */
     public void updateInstances(Collection<Instance> instances, long now) {
         Set<UpstreamId> usable = new HashSet<>();
         for (Instance instance : instances) {
@@ -104,15 +112,18 @@
         engines.keySet().retainAll(usable);
     }
 
-    /** Takes over in which zones engines serve nobody, so that copies are wanted elsewhere. */
+    /**
+     * Sets the evacuated zones. Engines in them serve no requests, so that their models are loaded
+     * in other zones.
+     */
     public void setEvacuatedZones(EvacuatedZones next) {
         evacuatedZones = next;
     }
 
     /**
-     * Takes over which engines have named a limit. They are placed on as all others are: a model
-     * that is asked for more than its engine takes gets a further copy for that demand, while those
-     * asked for rarely are served where they are.
+     * Sets the engines that have announced a request limit. Models are placed on them as on all
+     * others: a model whose demand exceeds the limit of its engine gets a further copy, while
+     * rarely requested models are served where they are.
      */
     public void setLimitedEngines(Set<UpstreamId> engineIds) {
         limitedEngines = Set.copyOf(engineIds);
@@ -124,13 +135,13 @@
                 .toList();
     }
 
-    /** Takes in an entry host's counts of arrivals and waiting requests. */
+    /** Records an entry host's counts of arrived and waiting requests. */
     public void recordDemand(
             HostId host, Map<ModelId, Integer> arrivals, Map<ModelId, Integer> waiting, long now) {
         demand.recordReport(host, arrivals, waiting, now);
     }
 
-    /** Takes in what an entry host says of its requests at instances. */
+    /** Records an entry host's report of its requests at instances. */
     public void recordWork(Map<UpstreamId, InstanceWork> work, long now) {
         Map<UpstreamId, InstanceWork> ofEngines = new HashMap<>(work);
         ofEngines.keySet().retainAll(engines.keySet());
@@ -138,9 +149,9 @@
     }
 
     /**
-     * Notes that a host cannot connect to an engine.
+     * Records that a host cannot connect to an engine.
      *
-     * @param refused whether the connection was refused
+     * @param refused whether the connection was refused, rather than timed out
      */
     public void recordConnectFailure(UpstreamId id, HostId host, boolean refused) {
         EngineTracker engine = engines.get(id);
@@ -150,7 +161,8 @@
     }
 
     /**
-     * Notes that an engine wants nothing from this host for some time: neither orders nor reads.
+     * Records that an engine asked this host to send neither orders nor report requests for some
+     * time.
      */
     public void recordRest(UpstreamId id, Duration time, long now) {
         EngineTracker engine = engines.get(id);
@@ -159,12 +171,15 @@
         }
     }
 
-    /** Notes that an adapter was asked for. */
+    /** Records that a request asked for an adapter. */
     public void recordAdapterUse(ModelId model, String adapter, long now) {
         adapterPlanner.recordUse(new AdapterKey(model, adapter), now);
     }
 
-    /** Notes that requests wait for an adapter on an engine that holds its model. */
+    /**
+     * Requests the load of an adapter that requests wait for, preferably on the given engine, which
+     * holds the model.
+     */
     public void requestAdapter(UpstreamId id, ModelId model, String adapter, long now) {
         recordAdapterUse(model, adapter, now);
         EngineTracker engine = engines.get(id);
@@ -173,7 +188,10 @@
         }
     }
 
-    /** Returns an engine with the model that can take an order now, or else the one asked for. */
+    /**
+     * Returns the requested engine if it can take an order now, otherwise another ready engine with
+     * the model, or the requested one if there is none.
+     */
     private EngineTracker readyEngine(EngineTracker requested, ModelId model) {
         if (requested.isReadyForOrder()) {
             return requested;
@@ -187,7 +205,11 @@
                 .orElse(requested);
     }
 
-    /** Takes in the answer to an order. */
+    /**
+     * Processes the answer to an order.
+     *
+     * @return the actions to perform, in order
+     */
     public List<ResidencyEffect> onAnswer(EngineOrder order, EngineAnswer answer, long now) {
         List<ResidencyEffect> effects = new ArrayList<>();
         EngineTracker engine = engines.get(order.instance());
@@ -219,7 +241,7 @@
                 .map(weights -> weights.loadTime(instance.inHostMemory(), instance.onDisk()));
     }
 
-    /** Takes in an engine's own account of itself. */
+    /** Processes the status report of an engine. */
     public void onReport(UpstreamId id, EngineReport report, long now) {
         EngineTracker engine = engines.get(id);
         if (engine != null) {
@@ -227,7 +249,7 @@
         }
     }
 
-    /** Notes that an engine's account could not be read. */
+    /** Records that the status report of an engine could not be read. */
     public void onReportFailed(UpstreamId id, long now) {
         EngineTracker engine = engines.get(id);
         if (engine != null) {
@@ -235,7 +257,7 @@
         }
     }
 
-    /** Returns what to do now; to be called several times within a tenth of a second. */
+    /** Returns the actions that are due now. Must be called several times per 100 ms. */
     public List<ResidencyEffect> step(long now) {
         List<ResidencyEffect> effects = new ArrayList<>();
         for (EngineTracker engine : engines.values()) {
@@ -294,7 +316,7 @@
                     sendOrder(engine, order, effects, now);
                 }
                 default -> {
-                    // An adapter order has come first; the policy decides anew within 100 ms.
+                    // An adapter order was sent first; the policy decides again within 100 ms.
                 }
             }
         }
@@ -323,7 +345,7 @@
     }
 
     private Optional<EngineOrder> adapterOrder(EngineTracker engine, EngineSpec spec) {
-        // An engine in need is not given work that nobody waits for.
+        // An overloaded engine gets no adapter loads that no request waits for.
         boolean fillFreeSlots = !limitedEngines.contains(engine.instance().id());
         return adapterPlanner
                 .nextChange(engine, spec, fillFreeSlots)
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/StoreLoadLimiter.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/StoreLoadLimiter.java
@@ -4,7 +4,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Bounds the loads from the weight store that begin within any window. */
+/** Limits the loads from the weight store that start within a sliding window. */
 final class StoreLoadLimiter {
 
     private final long windowNanos;
@@ -15,12 +15,15 @@
         this.windowNanos = window.toNanos();
     }
 
-    /** Sets how many loads a second the store allows. */
+    /** Sets the number of loads per second that the store allows. */
     void setRate(double loadsPerSecond) {
         maxLoads = (int) Math.floor(loadsPerSecond * windowNanos / Duration.ofSeconds(1).toNanos());
     }
 
-    /** Takes all that may begin in one window as begun: a predecessor may have begun it. */
+    /**
+     * Uses up the limit of the current window, because a predecessor may have started that many
+     * loads.
+     */
     void exhaust(long now) {
         loadTimes.clear();
         for (int i = 0; i < maxLoads; i++) {
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/package-info.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which models and adapters engines are ordered to hold, where the engines count their orders: one
- * order at a time for each, none of which can be carried out twice or after a newer one.
+ * Model and adapter residency on engines that count their orders. Each engine has at most one
+ * outstanding order, and no order can be carried out twice or after a newer one.
  */
 package io.stackhall.core.residency;
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/AdapterPlannerTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/AdapterPlannerTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which adapters an engine with free slots loads. */
+/** Tests of {@link AdapterPlanner} on an engine with free slots. */
 class AdapterPlannerTest {
 
     private static final ModelId MODEL = new ModelId("a");
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/EngineCapacityTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/EngineCapacityTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What engines can do, learned from what they have done. */
+/** Tests of the estimated engine capacity. */
 class EngineCapacityTest {
 
     private static final UpstreamId ENGINE = new UpstreamId("e");
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/EngineIncarnationTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/EngineIncarnationTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Orders to an engine that starts again under its name. */
+/** Tests of orders to an engine that restarts under the same name. */
 class EngineIncarnationTest extends ResidencyManagerFixture {
 
     @Test
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/LimitedEnginesReplayTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/LimitedEnginesReplayTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Two engines of thirteen that take one request a second, among more models than there are places:
- * placement that leaves them out, and placement that goes by demand alone.
+ * Compares placement that leaves out engines with a request limit to placement by demand alone. Two
+ * of thirteen engines accept one request per second, and there are more models than model slots.
  */
 class LimitedEnginesReplayTest {
 
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/ModelDemandTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ModelDemandTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What counts as asked for. */
+/** Tests of the demand estimate. */
 class ModelDemandTest {
 
     private static final ModelId MODEL = new ModelId("m");
@@ -40,7 +40,7 @@
         assertThat(demand.ratePerSecond(MODEL, at(10_000))).isGreaterThan(0.7);
     }
 
-    /** Demand for one model of 30 a second that moves away at once. */
+    /** Demand of 30 requests a second for one model that stops at once. */
     @Test
     void fallOfABusyModelIsAcceptedWithinFiveSeconds() {
         for (int tenth = 1; tenth <= 100; tenth++) {
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/OrderHandoverProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/OrderHandoverProperties.java
@@ -11,9 +11,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Orders of a leader that is cut off, against the first order of the next one, where engines do not
- * check fencing numbers. Bytes that a cut holds up are sent again after pauses that double; what is
- * closed is still delivered, what is reset is not. Times are milliseconds since the cut began.
+ * Checks that no order of a partitioned leader arrives after the first order of its successor,
+ * where engines do not check fencing numbers. TCP retransmits bytes held up by a partition with
+ * exponential backoff; it still delivers them if the connection was closed, but not if it was
+ * reset. Times are in milliseconds since the partition began.
  */
 class OrderHandoverProperties {
 
@@ -23,7 +24,7 @@
 
     private final OrderHandover handover = new OrderHandover(false, PAUSE);
 
-    /** How a leader gives up an order that is not answered in time. */
+    /** How a leader terminates the connection of an order that is not answered in time. */
     private enum Termination {
         CLOSE,
         RESET
@@ -41,7 +42,10 @@
                 || delivered.getAsLong() < firstOrderOfNextLeader(electionMillis);
     }
 
-    /** As it was seen: zone cut for 5.9 s, the next leader's first order 2.1 s before this one. */
+    /**
+     * An observed case: the zone was partitioned for 5.9 s, and the next leader's first order
+     * arrived 2.1 s before this one.
+     */
     @Test
     void orderOnAClosedConnectionArrivesAfterTheNextLeadersFirst() {
         OptionalLong delivered = delivered(100, 5900, 300, Termination.CLOSE);
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/OrderHandoverTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/OrderHandoverTest.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** Who waits for its predecessor. */
+/** Tests of which order issuer waits for its predecessor. */
 class OrderHandoverTest {
 
     private static final long ELECTED = Duration.ofSeconds(100).toNanos();
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementBenchmark.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementBenchmark.java
@@ -10,8 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Ways to tell the policy what a model's demand is worth, against the one that stands, over the
- * same seeds: {@code bin/bench replay}. Prints the mean gain of each and its 95% interval.
+ * Compares estimates of a model's demand, as told to the placement policy, with the one in use,
+ * over the same seeds. Run by {@code bin/bench replay}; prints the mean gain of each and its 95%
+ * confidence interval.
  */
 class PlacementBenchmark {
 
@@ -39,7 +40,7 @@
         alternatives.forEach((name, estimate) -> compare(name, run(estimate), baseline));
     }
 
-    /** Returns which part of the objective the nearest load takes, all of it at most. */
+    /** Returns the share of the latency objective that the nearest load takes, at most 1. */
     private static double shareOfObjective(PlacementReplay.Model model, long nearestLoad) {
         return Math.min(1, nearestLoad / (double) model.kind().objectiveMillis());
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplay.java
@@ -20,20 +20,25 @@
 import java.util.Random;
 
 /**
- * Models that are asked for, more than there are places for, by urgent callers, whose demand moves
- * on to other models, and by patient ones, who ask for many models rarely. The real policy and the
- * real count of demand decide over modelled engines: places, weights in host memory and on disk,
- * loads, and prompts that are read one after the other. Times are in milliseconds.
+ * Simulates placement with more requested models than model slots. Urgent callers, whose demand
+ * shifts to other models, compete with patient ones, who request many models rarely. The production
+ * policy and demand estimate run against simulated engines with model slots, weights in host memory
+ * and on disk, load times, and sequential prompt processing. Times are in milliseconds.
  */
 final class PlacementReplay {
 
-    /** How a model's demand is told to the policy. */
+    /** Computes the demand for a model that the policy is given. */
     interface DemandEstimate {
-        /** Returns the requests a second that a model is taken for. */
+        /**
+         * Returns the request rate per second.
+         *
+         * @param asked the measured rate
+         * @param nearestLoad the duration of the fastest possible load
+         */
         double rate(Model model, double asked, long nearestLoad);
     }
 
-    /** Whoever asks for a model. */
+    /** The kind of caller that requests a model. */
     enum Kind {
         URGENT(400, 5_000),
         PATIENT(6_000, 20_000);
@@ -51,10 +56,13 @@
         }
     }
 
-    /** What became of the requests of each kind, as shares of those asked, and the loads. */
+    /**
+     * The shares of requests of each kind answered within the latency objective, and the numbers of
+     * loads.
+     */
     record Outcome(double urgentInTime, double patientInTime, int loads, int storeLoads) {}
 
-    /** A model and who asks for it. */
+    /** A model and the kind of caller that requests it. */
     record Model(ModelId id, Kind kind) {
         Artifact artifact() {
             return new Artifact(id, "");
@@ -116,9 +124,9 @@
     }
 
     /**
-     * Lets some engines take only so many requests a second, from the eighth second on.
+     * Limits the request rate of some engines from the eighth second on.
      *
-     * @param leftOut whether the policy is told nothing of these engines from then on
+     * @param leftOut whether these engines are hidden from the policy from then on
      */
     PlacementReplay limited(int count, double perSecond, boolean leftOut) {
         limitedLeftOut = leftOut;
@@ -150,7 +158,10 @@
         return inTime.getOrDefault(kind, 0) / (double) asked.getOrDefault(kind, 1);
     }
 
-    /** Busy models first, on several engines, then one copy of each while there is room. */
+    /**
+     * Places two copies of each busy model, then one copy of every other model while slots are
+     * free.
+     */
     private void placeInitialModels() {
         int at = 0;
         for (int copy = 0; copy < 2; copy++) {
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplayTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplayTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Demand that moves on every eight seconds among more models than there are places for, beside many
- * models that patient callers ask for rarely.
+ * Compares placement policies under demand that shifts every eight seconds among more models than
+ * there are model slots, beside many models that patient callers request rarely.
  */
 class PlacementReplayTest {
 
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/ReachabilityTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ReachabilityTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When an engine counts as lost. */
+/** Tests of when an engine is considered lost. */
 class ReachabilityTest {
 
     private static final HostId FIRST = new HostId("h1");
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/ReplayEngine.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ReplayEngine.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** An engine: what it serves, keeps at hand and is doing. */
+/** A simulated engine: the models it serves, its local weights, and its current load. */
 final class ReplayEngine {
 
     private static final int ZONES = 3;
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/ResidencyManagerFixture.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ResidencyManagerFixture.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A keeper of engines that may hold two of three models, and the orders that it gives. */
+/** Base of tests with a {@link ResidencyManager} whose engines hold at most two of three models. */
 abstract class ResidencyManagerFixture {
 
     static final long MILLI = Duration.ofMillis(1).toNanos();
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/ResidencyManagerTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ResidencyManagerTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Orders to engines that count them, whose answers may be lost. */
+/** Tests of orders to engines that count them, with lost answers and late heartbeats. */
 class ResidencyManagerTest extends ResidencyManagerFixture {
 
     private static final UpstreamId ENGINE = new UpstreamId("e");
@@ -212,7 +212,7 @@
         assertThat(orders()).isEmpty();
         manager.updateInstances(List.of(instance("e", 2, "a", "c")), now);
         requestsWaitFor("b");
-        assertThat(onlyOrder().load()).as("room is made for it").isFalse();
+        assertThat(onlyOrder().load()).as("a model is unloaded to make room for it").isFalse();
     }
 
     @Test
@@ -277,12 +277,12 @@
         manager.onReport(new UpstreamId("other"), new EngineReport(0, 0, false, List.of()), now);
         manager.recordConnectFailure(new UpstreamId("other"), new HostId("h"), true);
         requestsWaitFor("b");
-        assertThat(orders()).as("its heartbeat may still come").isEmpty();
+        assertThat(orders()).as("its next heartbeat is not overdue yet").isEmpty();
         advanceMillis(1500);
         manager.updateInstances(
                 List.of(instance("e", 2, "a", "c"), instance("other", 1, "b")), now);
         requestsWaitFor("b");
-        assertThat(onlyOrder().load()).as("room is made for it").isFalse();
+        assertThat(onlyOrder().load()).as("a model is unloaded to make room for it").isFalse();
     }
 
     @Test
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/package-info.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of orders to engines. */
+/** Tests of model and adapter residency. */
 package io.stackhall.core.residency;
