--- a/stackhall-core/src/main/java/io/stackhall/core/fleet/EvacuatedZones.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/fleet/EvacuatedZones.java
@@ -5,16 +5,17 @@
 import java.util.Set;
 
 /**
- * The zones to whose upstreams nothing is sent, as an operator has ordered.
+ * The zones that an operator has evacuated. Nothing is sent to the upstreams in them.
  *
- * <p>Each change has a revision, so that hosts that are told in any order agree on the newest.
+ * <p>Each change increments the revision, so that hosts that receive updates in any order agree on
+ * the newest.
  *
- * @param revision how many changes there have been
- * @param zones the zones that are evacuated
+ * @param revision the number of changes so far
+ * @param zones the evacuated zones
  */
 public record EvacuatedZones(long revision, Set<ZoneId> zones) {
 
-    /** Copies the set. */
+    /** Creates a set of evacuated zones with a copy of the given set. */
     public EvacuatedZones {
         zones = Set.copyOf(zones);
         if (revision < 0) {
@@ -22,29 +23,29 @@
         }
     }
 
-    /** Returns the state before any order. */
+    /** Returns the state before any evacuation. */
     public static EvacuatedZones none() {
         return new EvacuatedZones(0, Set.of());
     }
 
-    /** Returns this with a zone evacuated; the same where it is already. */
+    /** Returns a copy in which the zone is evacuated, or this instance if it already is. */
     public EvacuatedZones with(ZoneId zone) {
         Set<ZoneId> next = new HashSet<>(zones);
         return next.add(zone) ? new EvacuatedZones(revision + 1, next) : this;
     }
 
-    /** Returns this without a zone; the same where it is not evacuated. */
+    /** Returns a copy in which the zone is not evacuated, or this instance if it is not. */
     public EvacuatedZones without(ZoneId zone) {
         Set<ZoneId> next = new HashSet<>(zones);
         return next.remove(zone) ? new EvacuatedZones(revision + 1, next) : this;
     }
 
-    /** Returns the newer of this and another. */
+    /** Returns the one of this and another with the higher revision. */
     public EvacuatedZones newer(EvacuatedZones other) {
         return other.revision > revision ? other : this;
     }
 
-    /** Returns whether nothing is sent to the upstreams of a zone. */
+    /** Returns whether a zone is evacuated. */
     public boolean contains(ZoneId zone) {
         return zones.contains(zone);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/fleet/Instance.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/fleet/Instance.java
@@ -10,20 +10,20 @@
 import java.util.Set;
 
 /**
- * What one incarnation of an upstream last said of itself.
+ * The latest report of one incarnation of an upstream. An incarnation is one run of its process.
  *
- * @param id the life of the upstream
- * @param service what it serves
- * @param address where it serves, ip:port
- * @param zone where it stands
- * @param slots requests that it runs at once
- * @param state whether it takes work
- * @param sequence rises with every report of this incarnation
- * @param cold how much longer it stays slow after its start
- * @param models what it serves now
- * @param inHostMemory models that it can load from its host's memory
- * @param onDisk models that it can load from its disk
- * @param ordersTaken how many orders it has taken
+ * @param id the incarnation of the upstream
+ * @param service the service that it belongs to
+ * @param address the address that it serves on, as ip:port
+ * @param zone the availability zone
+ * @param slots the number of requests that it can run concurrently
+ * @param state whether it accepts requests
+ * @param sequence the sequence number, which increases with every report of the incarnation
+ * @param cold the remaining time for which it is slow after its start
+ * @param models the models that it serves
+ * @param inHostMemory the models that it can load from its host's memory
+ * @param onDisk the models that it can load from its disk
+ * @param ordersTaken the number of orders that it has taken
  */
 public record Instance(
         UpstreamId id,
@@ -39,14 +39,14 @@
         Set<ModelId> onDisk,
         long ordersTaken) {
 
-    /** Copies the collections. */
+    /** Creates an instance with copies of the collections. */
     public Instance {
         models = List.copyOf(models);
         inHostMemory = Set.copyOf(inHostMemory);
         onDisk = Set.copyOf(onDisk);
     }
 
-    /** Returns its copy of a model, if it serves it. */
+    /** Returns the copy of a model, if the instance serves it. */
     public Optional<ModelCopy> copyOf(ModelId model) {
         for (ModelCopy copy : models) {
             if (copy.model().equals(model)) {
@@ -56,12 +56,15 @@
         return Optional.empty();
     }
 
-    /** Returns whether the weights of a model are at hand without the weight store. */
+    /**
+     * Returns whether the weights of a model can be loaded from host memory or disk, without the
+     * weight store.
+     */
     public boolean hasLocalWeights(ModelId model) {
         return inHostMemory.contains(model) || onDisk.contains(model);
     }
 
-    /** Returns this instance in another state. */
+    /** Returns a copy with another state. */
     public Instance withState(InstanceState next) {
         return new Instance(
                 id,
--- a/stackhall-core/src/main/java/io/stackhall/core/fleet/InstanceState.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/fleet/InstanceState.java
@@ -1,13 +1,13 @@
 package io.stackhall.core.fleet;
 
-/** Whether an incarnation of an upstream may be given work. */
+/** Whether an incarnation of an upstream may receive requests. */
 public enum InstanceState {
-    /** It takes work. */
+    /** It accepts requests. */
     READY,
-    /** It ends what it runs, and takes nothing new. */
+    /** It completes its running requests and accepts no new ones. */
     DRAINING,
-    /** It has said nothing for too long; a later report brings it back. */
+    /** It has sent no report for too long. A later report makes it available again. */
     SILENT,
-    /** It has ended, or counts as ended; this life of it never comes back. */
+    /** It has ended, or is considered ended. This incarnation never comes back. */
     GONE
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/fleet/InstanceTable.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/fleet/InstanceTable.java
@@ -13,20 +13,23 @@
 import java.util.Set;
 
 /**
- * Every life of an upstream that is known, merged from reports that may come late, doubled and out
- * of order.
+ * The table of all known incarnations of upstreams, merged from reports that may arrive late,
+ * duplicated and out of order.
  *
- * <p>Merging is commutative: of two reports of a life the later one counts, draining is never taken
- * back, and one that is gone stays gone. So hosts that have seen the same reports agree in whatever
- * order they came. An upstream that starts again under its name begins a new life, which ends the
- * one before.
+ * <p>Merging is commutative: of two reports of an incarnation the later one counts, draining is
+ * never reverted, and a gone incarnation stays gone. Hosts that have received the same reports
+ * therefore agree, whatever the order. An upstream that restarts under its name begins a new
+ * incarnation, which replaces the previous one.
  */
 public final class InstanceTable {
 
-    /** Enough for every incarnation of an hour in which each of 1,000 upstreams restarts. */
+    /** Enough for all incarnations of an hour in which each of 1,000 upstreams restarts. */
     private static final int MAX_REMEMBERED = 2_000;
 
-    /** A process that was frozen or cut off for a minute may come back with its id. */
+    /**
+     * The number of silence periods after which an incarnation is gone. A process that was paused
+     * or partitioned for a minute may come back under its id.
+     */
     private static final int SILENCES_UNTIL_GONE = 20;
 
     private final Duration silence;
@@ -36,10 +39,12 @@
     private final Map<UpstreamId, Boolean> gone = new BoundedMap<>();
     private final Map<String, Latest> latest = new BoundedMap<>();
 
-    /** The latest life of a name by its own word, and when it was heard of last. */
+    /**
+     * The latest incarnation of a name by its reported start time, and the time of its last report.
+     */
     private record Latest(UpstreamId id, long lastReportAt) {}
 
-    /** Forgets what was put in first once there is much. */
+    /** A map that evicts its oldest entry when it exceeds {@link #MAX_REMEMBERED}. */
     private static final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
 
         private static final long serialVersionUID = 1;
@@ -53,17 +58,18 @@
     /**
      * Creates an empty table.
      *
-     * @param silence how long an incarnation may say nothing before it counts as gone
+     * @param silence how long an incarnation may send no report before it is marked as silent; it
+     *     is gone after 20 times as long
      */
     public InstanceTable(Duration silence) {
         this.silence = silence;
     }
 
     /**
-     * Takes in a report, direct or passed on.
+     * Merges a report, received directly or passed on by another host.
      *
      * @param now the monotonic clock, in nanoseconds
-     * @return the instances whose entry has changed, gone ones included
+     * @return the instances whose entries have changed, including those that are gone
      */
     public List<Instance> merge(Instance report, long now) {
         if (gone.containsKey(report.id())) {
@@ -102,9 +108,11 @@
     }
 
     /**
-     * Takes out a life that says it ends.
+     * Removes an incarnation that has announced its end.
      *
-     * @param id the life; one whose start is untold stands for whichever of its name is known
+     * @param id the incarnation; an id without a start time matches any known incarnation of the
+     *     name
+     * @return the removed instance, or an empty list if it was not known
      */
     public List<Instance> remove(UpstreamId id) {
         Instance known = instances.get(id);
@@ -121,7 +129,11 @@
         return List.of();
     }
 
-    /** Marks an incarnation as one that takes nothing new. */
+    /**
+     * Marks an incarnation as draining.
+     *
+     * @return the changed instance, or an empty list if nothing changed
+     */
     public List<Instance> drain(UpstreamId id) {
         Instance known = instances.get(id);
         if (known == null || draining.contains(id)) {
@@ -133,7 +145,10 @@
     }
 
     /**
-     * Marks the incarnations that have said nothing for too long, and takes out those long lost.
+     * Marks incarnations without recent reports as silent, and removes those that have been silent
+     * for 20 times as long.
+     *
+     * @return the changed instances, including those that are gone
      */
     public List<Instance> expire(long now) {
         List<Instance> changed = new ArrayList<>();
@@ -147,7 +162,10 @@
         return changed;
     }
 
-    /** Counts all as just heard: what was silent may have been this host itself. */
+    /**
+     * Restarts the silence timers of all instances. Used when this host itself may have been paused
+     * or partitioned.
+     */
     public void restartSilenceTimers(long now) {
         lastReportAt.replaceAll((id, at) -> now);
     }
@@ -192,7 +210,7 @@
         return instance.withState(InstanceState.GONE);
     }
 
-    /** Returns the lives that end where a new one begins: of its name, or at its address. */
+    /** Returns the incarnations that a new one replaces: those with its name or its address. */
     private List<Instance> displacedBy(Instance report) {
         return instances.values().stream()
                 .filter(
@@ -203,8 +221,8 @@
     }
 
     /**
-     * Returns whether a life that is known goes on although another shows up in its place: the
-     * other's report may have been on its way for seconds.
+     * Returns whether a known incarnation is kept although another reports in its place. The
+     * other's report may have been in transit for seconds.
      */
     private boolean isStillAlive(Instance old, Instance report, long now) {
         return !report.id().startedAfter(old.id())
@@ -212,8 +230,8 @@
     }
 
     /**
-     * Returns whether a later life of the name has been heard of lately. Long after that, the life
-     * is taken for a new one whose host's clock had stepped back.
+     * Returns whether a later incarnation of the name has reported recently. If its last report is
+     * long past, the incarnation is accepted as a new one whose host's clock was set back.
      */
     private boolean isOfEarlierIncarnation(UpstreamId id, long now) {
         Latest newest = latest.get(id.value());
@@ -228,7 +246,7 @@
         }
     }
 
-    /** With a life that has ended, those of its name before it have ended too. */
+    /** Marks an incarnation as gone, and with it all earlier ones of its name. */
     private List<Instance> markGoneWithEarlier(Instance incarnation) {
         List<Instance> all = new ArrayList<>();
         for (Instance other : List.copyOf(instances.values())) {
--- a/stackhall-core/src/main/java/io/stackhall/core/fleet/ModelCopy.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/fleet/ModelCopy.java
@@ -4,14 +4,14 @@
 import java.util.Set;
 
 /**
- * A model that an instance serves.
+ * A copy of a model that an instance serves.
  *
- * @param model its name
- * @param version of its weights
- * @param adapters the adapters resident beside it, by name
+ * @param model the model
+ * @param version the version of the weights
+ * @param adapters the names of the resident adapters of the model
  */
 public record ModelCopy(ModelId model, long version, Set<String> adapters) {
-    /** Copies the adapters. */
+    /** Creates a copy of a model with a copy of the set of adapters. */
     public ModelCopy {
         adapters = Set.copyOf(adapters);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/fleet/PrimarySelector.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/fleet/PrimarySelector.java
@@ -9,44 +9,52 @@
 import java.util.Optional;
 
 /**
- * Which control host tells an entry host everything and passes its reports on: one of its own
- * availability zone where there is one, so that the bulk does not leave the zone.
+ * Selects the primary control host of an entry host, which sends it all updates and passes its
+ * reports on. A control host of the entry host's own availability zone is preferred, so that most
+ * traffic stays within the zone.
  *
- * <p>The load that it answers: while every control host told every entry host everything, each
- * change was sent hosts x control hosts times, and each entry host took it in as often as there are
- * control hosts. With 95 and 5 of them 67 MB left their zones in 33 s, requests included (one calm
- * day, from the counts of the network). What ends or begins an instance is still told by all.
+ * <p>Without a primary, every control host sent every update to every entry host: each change was
+ * sent hosts x control hosts times, and each entry host processed it once per control host. With 95
+ * entry hosts and 5 control hosts, 67 MB crossed zone boundaries in 33 s without incidents,
+ * requests included (by network counters). The start and end of instances are still sent by all
+ * control hosts.
  *
- * <p>Not thread-safe: one thread uses it.
+ * <p>Not thread-safe.
  */
 public final class PrimarySelector {
 
-    /** An election takes about a second; asked sooner, the host would only decline again. */
+    /**
+     * How long a control host that has declined is avoided. An election takes about a second; asked
+     * sooner, the host would only decline again.
+     */
     private static final long DECLINE_NANOS = Duration.ofSeconds(2).toNanos();
 
-    /** An odd number with mixed bits: texts that differ in one sign rank unlike. */
+    /**
+     * An odd multiplier with mixed bits, so that host names that differ in one character get
+     * unrelated ranks.
+     */
     private static final int HASH_MULTIPLIER = 0x9E3779B1;
 
     private final HostId self;
     private final ZoneId zone;
     private final Map<HostId, Long> declinedAt = new HashMap<>();
 
-    /** Creates the choice of one entry host. */
+    /** Creates the selector of one entry host. */
     public PrimarySelector(HostId self, ZoneId zone) {
         this.self = self;
         this.zone = zone;
     }
 
-    /** Notes that a control host knows of no leader, so that what it tells may be old. */
+    /** Records that a control host knows no leader, so that its updates may be outdated. */
     public void recordDecline(HostId host, long now) {
         declinedAt.put(host, now);
     }
 
     /**
-     * Returns the primary among the control hosts that are connected now. Where all have declined
-     * one of them is still better than none.
+     * Returns the primary among the connected control hosts, or empty if there are none. If all
+     * have declined recently, one of them is selected nevertheless.
      *
-     * @param connected the hosts and the zones in which they stand
+     * @param connected the connected control hosts with their zones
      */
     public Optional<HostId> select(Map<HostId, ZoneId> connected, long now) {
         declinedAt.values().removeIf(at -> now - at >= DECLINE_NANOS);
@@ -58,7 +66,9 @@
                                 .thenComparing(HostId::value));
     }
 
-    /** Spreads entry hosts over the control hosts that they could as well take. */
+    /**
+     * Returns a pseudo-random rank that spreads entry hosts over equally suitable control hosts.
+     */
     private int rank(HostId host) {
         return Math.floorMod(
                 (self.value() + ' ' + host.value()).hashCode() * HASH_MULTIPLIER,
--- a/stackhall-core/src/main/java/io/stackhall/core/fleet/UpdateUrgency.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/fleet/UpdateUrgency.java
@@ -2,20 +2,26 @@
 
 import java.util.Optional;
 
-/** How soon entry hosts have to hear of what an instance newly says of itself. */
+/** How soon a new report of an instance has to be passed on to entry hosts. */
 public enum UpdateUrgency {
-    /** It comes, goes, drains, moves, turns cold or serves a further model: at once. */
+    /**
+     * At once: the instance appears, changes its state or address, turns cold, or serves a further
+     * model.
+     */
     URGENT,
-    /** What it holds has changed, of which orders have told: with other changes. */
+    /**
+     * Together with other changes: the resident models or local weights have changed, of which
+     * entry hosts are notified when they are ordered, or the slots have.
+     */
     BATCHED,
-    /** Nothing that matters to anybody. */
+    /** Not at all: no relevant change. */
     NONE;
 
     /**
-     * Compares two reports of an instance.
+     * Returns the urgency of a report, given the previous one.
      *
-     * @param before the one before, if there was any
-     * @param after the new one, maybe of a later life
+     * @param before the previous report, if any
+     * @param after the new report, possibly of a later incarnation
      */
     public static UpdateUrgency of(Optional<Instance> before, Instance after) {
         if (before.isEmpty() || isUrgent(before.get(), after)) {
--- a/stackhall-core/src/main/java/io/stackhall/core/fleet/package-info.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Which incarnations of upstreams there are, by what they say of themselves. */
+/** The known incarnations of upstreams, according to their reports. */
 package io.stackhall.core.fleet;
--- a/stackhall-core/src/test/java/io/stackhall/core/fleet/EvacuatedZonesTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/fleet/EvacuatedZonesTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Which zones are evacuated, whatever is told again, late or in another order. */
+/** Tests of evacuated zones under repeated, late and reordered updates. */
 class EvacuatedZonesTest {
 
     private static final ZoneId ZONE = new ZoneId("plateau");
--- a/stackhall-core/src/test/java/io/stackhall/core/fleet/InstanceTableTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/fleet/InstanceTableTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** What reports that come late, doubled and out of order make of the list of upstreams. */
+/** Tests of the instance table under late, duplicated and reordered reports. */
 class InstanceTableTest {
 
     private static final Duration SILENCE = Duration.ofSeconds(6);
--- a/stackhall-core/src/test/java/io/stackhall/core/fleet/Instances.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/fleet/Instances.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Makes instances for tests. */
+/** Factory of instances for tests. */
 public final class Instances {
 
     /** The service of every instance made here. */
@@ -22,7 +22,7 @@
         return instance(id, "10.0.0." + id.length() + ":" + id.hashCode(), sequence, models);
     }
 
-    /** Returns an instance that stays slow for a while. */
+    /** Returns an instance that is still slow after its start. */
     public static Instance coldInstance(String id, Duration left) {
         Instance instance = instance(id, 1);
         return with(instance, instance.id(), instance.zone(), left);
@@ -34,7 +34,7 @@
         return with(instance, instance.id(), new ZoneId(zone), instance.cold());
     }
 
-    /** Returns one life of an instance that tells when it started. */
+    /** Returns an incarnation with a known start time. */
     public static Instance incarnation(
             String id, long bornMillis, long sequence, String... models) {
         Instance instance = instance(id, sequence, models);
--- a/stackhall-core/src/test/java/io/stackhall/core/fleet/PrimarySelectorTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/fleet/PrimarySelectorTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Which control host an entry host relies on. */
+/** Tests of the selection of the primary control host. */
 class PrimarySelectorTest {
 
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
--- a/stackhall-core/src/test/java/io/stackhall/core/fleet/UpdateUrgencyTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/fleet/UpdateUrgencyTest.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** What entry hosts hear of an instance at once, with other changes, or not at all. */
+/** Tests of which reports are passed on at once, batched, or not at all. */
 class UpdateUrgencyTest {
 
     private static final Instance KNOWN = Instances.instance("a", 1, "m");
--- a/stackhall-core/src/test/java/io/stackhall/core/fleet/package-info.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the list of upstreams. */
+/** Tests of the table of upstream instances. */
 package io.stackhall.core.fleet;
