--- a/stackhall-core/src/main/java/io/stackhall/core/placement/DemandTracker.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/DemandTracker.java
@@ -7,10 +7,13 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What is asked for in a zone: a decaying rate for each model, and the requests that wait. */
+/**
+ * Tracks demand: an exponentially decaying request rate for each model, and the number of waiting
+ * requests.
+ */
 public final class DemandTracker {
 
-    /** A rate falls to a half in this time without requests. */
+    /** The default half-life: the time in which a rate halves without requests. */
     public static final Duration HALF_LIFE = Duration.ofSeconds(20);
 
     private static final long WAITING_LIFETIME_NANOS = Duration.ofSeconds(2).toNanos();
@@ -28,7 +31,7 @@
     /**
      * Creates a tracker.
      *
-     * @param halfLife the time in which a rate falls to a half without requests
+     * @param halfLife the time in which a rate halves without requests
      */
     public DemandTracker(Duration halfLife) {
         this.halfLife = halfLife;
@@ -43,11 +46,11 @@
     private record Waiting(Map<ModelId, Integer> counts, long at) {}
 
     /**
-     * Takes an entry host's report.
+     * Records the report of an entry host.
      *
-     * @param host who reports
-     * @param arrivals requests that came since its last report
-     * @param stillWaiting requests that wait for a model now
+     * @param host the reporting host
+     * @param arrivals the numbers of requests that arrived since its last report, by model
+     * @param stillWaiting the numbers of requests that wait now, by model
      * @param now the monotonic clock, in nanoseconds
      */
     public void recordReport(
@@ -59,7 +62,7 @@
         waiting.put(host, new Waiting(Map.copyOf(stillWaiting), now));
     }
 
-    /** Returns requests a second for a model, decayed to now. */
+    /** Returns the request rate per second of a model, decayed to the given time. */
     public double ratePerSecond(ModelId model, long now) {
         Rate rate = rates.get(model);
         if (rate == null) {
@@ -68,12 +71,15 @@
         return decayed(rate, now) / meanLifeSeconds();
     }
 
-    /** Returns for how long a request counts, on average, in seconds. */
+    /** Returns the mean time for which a request contributes to the rate, in seconds. */
     public double meanLifeSeconds() {
         return halfLife.toNanos() / NANOS_PER_SECOND / Math.log(2);
     }
 
-    /** Returns how many requests wait for a model, by the latest report of each entry host. */
+    /**
+     * Returns the number of requests that wait for a model, by the latest report of each entry
+     * host. Reports older than two seconds are ignored.
+     */
     public int waiting(ModelId model, long now) {
         int sum = 0;
         for (Waiting of : waiting.values()) {
@@ -84,13 +90,16 @@
         return sum;
     }
 
-    /** Returns when a model was last asked for, or the given time if never. */
+    /**
+     * Returns when a model was last requested, on the monotonic clock in nanoseconds, or the given
+     * value if never.
+     */
     public long lastUsed(ModelId model, long otherwise) {
         Rate rate = rates.get(model);
         return rate == null ? otherwise : rate.lastUsed;
     }
 
-    /** Forgets the models that are no longer deployed. */
+    /** Removes the rates of models that are no longer deployed. */
     public void retain(Set<ModelId> deployed) {
         rates.keySet().retainAll(deployed);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/MemoryAccount.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/MemoryAccount.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * What must be taken as occupied in one upstream's accelerator memory: what its latest report
- * shows, and every load that may have been, or may yet be, carried out.
+ * A conservative account of one upstream's accelerator memory. It charges the artifacts in the
+ * latest report and every load that may have been, or may still be, carried out.
  */
 public final class MemoryAccount {
 
@@ -23,7 +23,9 @@
         this.chargedMib = reservedMib + charged.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    /** Returns the account of an upstream by its latest report and the zone's orders. */
+    /**
+     * Returns the account of an upstream, computed from its latest report and the zone's orders.
+     */
     public static MemoryAccount of(Announcement report, OrderLedger.State orders) {
         Map<Artifact, Long> charged = new HashMap<>();
         for (Resident resident : report.memory().resident()) {
@@ -35,22 +37,28 @@
                 report.memory().capacityMib(), report.memory().reservedMib(), charged);
     }
 
-    /** Returns what is taken as occupied, the KV reserve included, in MiB. */
+    /** Returns the charged memory in MiB, including the memory reserved for the KV cache. */
     public long chargedMib() {
         return chargedMib;
     }
 
-    /** Returns what may still be loaded, in MiB; negative where reports show too much. */
+    /**
+     * Returns the memory in MiB that is free to load; negative if more than the capacity is
+     * charged.
+     */
     public long freeMib() {
         return capacityMib - chargedMib;
     }
 
-    /** Returns whether the artifact is taken as occupying memory already. */
+    /** Returns whether the artifact is already charged. */
     public boolean isCharged(Artifact artifact) {
         return charged.containsKey(artifact);
     }
 
-    /** Returns whether a load cannot overcommit the memory, whatever became of earlier orders. */
+    /**
+     * Returns whether a load of this size in MiB cannot overcommit the memory, whatever the outcome
+     * of earlier orders.
+     */
     public boolean admits(long memoryMib) {
         return memoryMib <= freeMib();
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/Order.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/Order.java
@@ -5,14 +5,14 @@
 import java.util.Objects;
 
 /**
- * One order to an upstream, as recorded before it is sent.
+ * An order to an upstream, as recorded in the ledger before it is sent.
  *
- * @param number its fencing number, higher than that of every earlier order of the zone
- * @param upstream who is to carry it out
- * @param incarnation the upstream's incarnation that it was meant for
- * @param kind what is to be done
- * @param artifact with what
- * @param memoryMib the memory that the artifact takes, in MiB
+ * @param number the fencing number, higher than that of every earlier order of the zone
+ * @param upstream the upstream that carries out the order
+ * @param incarnation the incarnation of the upstream that the order is intended for
+ * @param kind the kind of order
+ * @param artifact the artifact to load or unload
+ * @param memoryMib the memory that the artifact occupies, in MiB
  */
 public record Order(
         long number,
@@ -22,14 +22,14 @@
         Artifact artifact,
         long memoryMib) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public Order {
         Objects.requireNonNull(upstream, "upstream");
         Objects.requireNonNull(kind, "kind");
         Objects.requireNonNull(artifact, "artifact");
     }
 
-    /** What an order asks for. */
+    /** The kind of an order. */
     public enum Kind {
         /** Load an artifact. */
         LOAD,
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/OrderCommand.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/OrderCommand.java
@@ -3,11 +3,11 @@
 import io.stackhall.core.id.UpstreamId;
 import io.stackhall.core.membership.Artifact;
 
-/** A change of an {@link OrderLedger}. */
+/** A command that changes an {@link OrderLedger}. */
 public sealed interface OrderCommand {
 
     /**
-     * Records the intent to give an order.
+     * Records the intent to issue an order.
      *
      * @param highestSeen the highest fencing number that any upstream has reported
      */
@@ -21,13 +21,13 @@
             implements OrderCommand {}
 
     /**
-     * Closes an order of which a report has shown what became of it.
+     * Closes an order whose outcome a report has shown.
      *
-     * @param number the order
-     * @param echo whether a copy of it may still be on its way
+     * @param number the fencing number of the order
+     * @param echo whether a copy of the order may still be in transit
      */
     record Close(long number, boolean echo) implements OrderCommand {}
 
-    /** The lifetime of an order's late copies has passed. */
+    /** Removes a closed order of which no copy can arrive or take effect any more. */
     record ForgetEcho(long number) implements OrderCommand {}
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/OrderLedger.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/OrderLedger.java
@@ -6,9 +6,9 @@
 /**
  * The replicated ledger of a zone's orders.
  *
- * <p>An order is recorded before it is sent, and stays open until a report from after it shows what
- * became of it: an order whose answer is lost is unknown, and what it may have loaded stays
- * charged. Each upstream has at most one open order.
+ * <p>An order is recorded before it is sent, and stays open until a later report shows its outcome.
+ * The outcome of an order whose answer is lost is unknown, and the memory that it may have occupied
+ * remains charged. Each upstream has at most one open order.
  */
 public final class OrderLedger {
 
@@ -19,7 +19,7 @@
     /** Creates an empty ledger. */
     public OrderLedger() {}
 
-    /** Creates a ledger from what {@link #state()} returned. */
+    /** Creates a ledger from a state that {@link #state()} returned. */
     public OrderLedger(State state) {
         state.open().forEach(order -> open.put(order.number(), order));
         state.echoes().forEach(order -> echoes.put(order.number(), order));
@@ -27,11 +27,11 @@
     }
 
     /**
-     * Everything that the ledger holds.
+     * The complete state of the ledger.
      *
-     * @param open orders that may be carried out or not
-     * @param echoes closed orders of which a late copy may still arrive
-     * @param lastNumber the last fencing number given out
+     * @param open orders whose outcome is unknown
+     * @param echoes closed loads of which a late copy may still arrive
+     * @param lastNumber the last fencing number assigned
      */
     public record State(List<Order> open, List<Order> echoes, long lastNumber) {}
 
@@ -47,7 +47,7 @@
         };
     }
 
-    /** Returns everything that the ledger holds. */
+    /** Returns the complete state of the ledger. */
     public State state() {
         return new State(List.copyOf(open.values()), List.copyOf(echoes.values()), lastNumber);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/OrderResult.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/OrderResult.java
@@ -1,12 +1,12 @@
 package io.stackhall.core.placement;
 
-/** The answer to an {@link OrderCommand}. */
+/** The result of an {@link OrderCommand}. */
 public sealed interface OrderResult {
 
     /** The intent is recorded. */
     record Intended(Order order) implements OrderResult {}
 
-    /** Another order to the same upstream is still open. */
+    /** The intent was rejected, because another order to the same upstream is still open. */
     record Busy() implements OrderResult {}
 
     /** The command was carried out. */
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/OrderTracker.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/OrderTracker.java
@@ -10,10 +10,11 @@
 import java.util.Set;
 
 /**
- * How far a leader has come with each order of the ledger: sent, answered, unanswered, settled.
+ * Tracks a leader's delivery of each order in the ledger: sent, answered, unanswered, settled.
  *
- * <p>An open order is settled only by a report from after its answer, by a restart of the upstream,
- * or, where no answer comes at all, by a report from after the lifetime of the last copy.
+ * <p>An open order is settled by a report from after its answer or by a restart of the upstream. An
+ * order that is never answered is settled by a report that shows its effect, or by any report after
+ * the lifetime of its last copy has passed.
  */
 final class OrderTracker {
 
@@ -27,7 +28,7 @@
         this.settings = settings;
     }
 
-    /** What became of one order as far as this leader knows. */
+    /** The delivery state of one order as known to this leader. */
     private static final class Delivery {
         private final boolean inherited;
         private boolean inFlight;
@@ -47,7 +48,10 @@
         echoSeenAt.clear();
     }
 
-    /** Follows the ledger: new orders are to be sent, orders of an earlier leader sent again. */
+    /**
+     * Updates the tracked orders from the ledger: new orders become due to be sent, and orders
+     * inherited from an earlier leader due to be sent again.
+     */
     void update(OrderLedger.State orders, boolean inherited, long now) {
         Set<Long> open = new HashSet<>();
         for (Order order : orders.open()) {
@@ -82,7 +86,7 @@
         }
     }
 
-    /** Returns whether the order should be sent now, and notes that it is. */
+    /** Returns whether the order is due to be sent, and if so records it as sent. */
     boolean startSend(Order order, long now) {
         Delivery delivery = deliveries.get(order.number());
         boolean due =
@@ -98,13 +102,17 @@
         return due;
     }
 
-    /** Returns whether no copy of the order has ever left, as far as the ledger shows. */
+    /**
+     * Returns whether no copy of the order can have been sent, by this leader or an earlier one.
+     */
     boolean neverSent(Order order) {
         Delivery delivery = deliveries.get(order.number());
         return !delivery.inherited && delivery.sends == 0;
     }
 
-    /** Returns the closing of an order that its upstream's latest report settles. */
+    /**
+     * Returns the command that closes the order, if the latest report of its upstream settles it.
+     */
     Optional<OrderCommand.Close> closeIfSettled(Order order, Announcement report, long now) {
         Delivery delivery = deliveries.get(order.number());
         if (report.incarnation() > order.incarnation()) {
@@ -131,12 +139,15 @@
                 : Optional.empty();
     }
 
-    /** A late copy of an order can only do harm where old fencing numbers are not refused. */
+    /**
+     * Returns the command that closes the order. It keeps an echo unless the upstream refuses old
+     * fencing numbers, which makes late copies harmless.
+     */
     private static OrderCommand.Close newClose(Order order, Announcement report) {
         return new OrderCommand.Close(order.number(), !report.fencing().checked());
     }
 
-    /** Returns whether a report shows the state that an unanswered order asks for. */
+    /** Returns whether a report shows the state that an unanswered order requests. */
     private static boolean showsEffect(Announcement report, Order order) {
         boolean resident =
                 report.memory().resident().stream()
@@ -145,7 +156,7 @@
         return report.incarnation() == order.incarnation() && resident == wanted;
     }
 
-    /** Returns the echoes that can no longer arrive, or would be refused. */
+    /** Returns the commands that remove echoes which can no longer arrive or would be refused. */
     List<OrderCommand.ForgetEcho> expiredEchoes(
             OrderLedger.State orders, Map<String, Announcement> reports, long now) {
         List<OrderCommand.ForgetEcho> found = new ArrayList<>();
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCoordinator.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCoordinator.java
@@ -24,11 +24,11 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Places models in one zone: while this host leads the zone's group it is the only giver of orders.
+ * Places models in one zone. While this host leads the zone's group, it is the only order issuer.
  *
- * <p>It asks the policy for moves, checks each against the memory account and the weight store's
- * limits, records the intent at the group's quorum, and only then has the order sent. What a policy
- * wants never overrides the account.
+ * <p>It asks the policy for moves, checks each against the memory account and the limits of the
+ * weight store, and records the intent at the group's quorum. Only then is the order sent. A policy
+ * never overrides the memory account.
  *
  * @see OrderLedger
  * @see MemoryAccount
@@ -70,11 +70,11 @@
     }
 
     /**
-     * Takes one event.
+     * Processes an event.
      *
-     * @param event what has happened
+     * @param event the event
      * @param now the monotonic clock, in nanoseconds
-     * @return what to do, in order
+     * @return the actions to perform, in order
      */
     public List<PlacementEffect> step(PlacementEvent event, long now) {
         decisionRequested |= requestsDecision(event);
@@ -96,7 +96,7 @@
             case PlacementEvent.Unanswered(long number, boolean sent) ->
                     tracks.recordNoAnswer(number, sent, now);
             case PlacementEvent.Tick() -> {
-                // Everything below happens on every event.
+                // The steps below run on every event.
             }
         }
         if (orders.isPresent()) {
@@ -109,12 +109,12 @@
         return drained;
     }
 
-    /** Returns what the policy in force has cost and missed since this coordinator was created. */
+    /** Returns the counts of the policy in force since this coordinator was created. */
     public PlacementCounts counts() {
         return counts.getOrDefault(activePolicy(), PlacementCounts.none());
     }
 
-    /** Returns what each policy has cost and missed while it was in force. */
+    /** Returns the counts of each policy while it was in force. */
     public Map<PolicyName, PlacementCounts> countsByPolicy() {
         return Map.copyOf(counts);
     }
@@ -124,17 +124,17 @@
         return configuration.deployment().policy().active();
     }
 
-    /** Returns the policy that decides in shadow, if there is one. */
+    /** Returns the policy that is evaluated in shadow mode, if any. */
     public Optional<PolicyName> comparedPolicy() {
         return shadow.map(ShadowPlacement::policy);
     }
 
-    /** Returns what the compared policy would have cost and missed; nothing if there is none. */
+    /** Returns the counts of the compared policy, or zero counts if there is none. */
     public PlacementCounts comparedCounts() {
         return shadow.map(ShadowPlacement::counts).orElse(PlacementCounts.none());
     }
 
-    /** Returns whether an event may call for another decision before the idle interval is over. */
+    /** Returns whether an event may require a decision before the idle interval has passed. */
     private boolean requestsDecision(PlacementEvent event) {
         return switch (event) {
             case PlacementEvent.Demanded demanded ->
@@ -266,7 +266,7 @@
         }
     }
 
-    /** Checks again, with the order itself charged, what may have changed since it was decided. */
+    /** Checks again that the order fits, with the order charged: memory may have changed since. */
     private static boolean stillFits(Order order, Announcement report, OrderLedger.State state) {
         return order.kind() == Order.Kind.UNLOAD || MemoryAccount.of(report, state).freeMib() >= 0;
     }
@@ -347,7 +347,7 @@
         }
     }
 
-    /** A load that nobody waited for is needless if it is undone before anybody asked for it. */
+    /** Counts a load that no request waited for and that was unloaded before any request came. */
     private void countIfNeedless(Move.Unload unload, long now) {
         long since = views.residentSince(unload.upstream(), unload.artifact(), now);
         boolean unused = demand.lastUsed(unload.artifact().id(), Long.MIN_VALUE) < since;
@@ -356,7 +356,7 @@
         }
     }
 
-    /** Returns the upstreams that may not be given another order, and what each may be loading. */
+    /** Returns the upstreams that cannot take another order, with what each may be loading. */
     private Map<UpstreamId, Optional<Artifact>> busy(OrderLedger.State state) {
         Map<UpstreamId, Optional<Artifact>> busy = new HashMap<>();
         proposed.forEach((upstream, of) -> busy.put(upstream, of.load()));
@@ -367,7 +367,7 @@
         return busy;
     }
 
-    /** A proposal of which nothing was heard for the lifetime of an order will not be applied. */
+    /** Drops proposals without a result for the lifetime of an order: they will not be applied. */
     private void dropStaleProposals(long now) {
         proposed.values().removeIf(of -> now - of.at() > settings.orderLifetime().toNanos());
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCounts.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCounts.java
@@ -1,16 +1,17 @@
 package io.stackhall.core.placement;
 
 /**
- * What a policy has cost and missed.
+ * The loads and misses of a placement policy.
  *
- * @param loads loads from the weight store
- * @param needlessLoads loads of artifacts that were unloaded before a request used them
- * @param misses requests that came while no copy of their model was resident
- * @param arrivals all requests that came
+ * @param loads the number of loads from the weight store
+ * @param needlessLoads the number of loads of artifacts that were unloaded before a request used
+ *     them
+ * @param misses the number of requests that arrived while no copy of their model was resident
+ * @param arrivals the number of all requests
  */
 public record PlacementCounts(long loads, long needlessLoads, long misses, long arrivals) {
 
-    /** Returns counts of nothing. */
+    /** Returns counts of zero. */
     public static PlacementCounts none() {
         return new PlacementCounts(0, 0, 0, 0);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementEffect.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementEffect.java
@@ -1,16 +1,16 @@
 package io.stackhall.core.placement;
 
-/** What a {@link PlacementCoordinator} asks its driver to do. */
+/** An action that a {@link PlacementCoordinator} asks its caller to perform. */
 public sealed interface PlacementEffect {
 
     /** Propose a change of the ledger to the zone's group. */
     record Propose(OrderCommand command) implements PlacementEffect {}
 
     /**
-     * Send an order, if this host still holds the leader's lease at that very moment.
+     * Send an order, provided that this host still holds the leader lease at the moment of sending.
      *
-     * @param order what to send
-     * @param address where to, as {@code host:port}
+     * @param order the order to send
+     * @param address the address of the upstream, as {@code host:port}
      */
     record Send(Order order, String address) implements PlacementEffect {}
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementEvent.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementEvent.java
@@ -7,40 +7,41 @@
 import io.stackhall.core.membership.Announcement;
 import java.util.Map;
 
-/** What can happen to a {@link PlacementCoordinator}. */
+/** An event that a {@link PlacementCoordinator} processes. */
 public sealed interface PlacementEvent {
 
-    /** This host leads the zone's group now. */
+    /** This host has become leader of the zone's group. */
     record Led(OrderLedger.State orders) implements PlacementEvent {}
 
-    /** This host leads no more. */
+    /** This host has ceased to lead. */
     record Deposed() implements PlacementEvent {}
 
     /** The group has applied a change of the ledger. */
     record LedgerChanged(OrderLedger.State orders) implements PlacementEvent {}
 
-    /** A proposal to the group was not taken. */
+    /** The group did not accept a proposal. */
     record ProposalFailed(OrderCommand command) implements PlacementEvent {}
 
-    /** An upstream has announced itself. */
+    /** An upstream has sent an announcement. */
     record Reported(Announcement announcement) implements PlacementEvent {}
 
-    /** An upstream has been silent for too long. */
+    /** An upstream has sent no announcement for too long. */
     record UpstreamLost(UpstreamId upstream) implements PlacementEvent {}
 
-    /** Another configuration is in force. */
+    /** A new configuration is in force. */
     record Configured(Configuration configuration) implements PlacementEvent {}
 
-    /** An entry host tells what was asked of it. */
+    /** An entry host has reported its arrived and waiting requests, by model. */
     record Demanded(HostId host, Map<ModelId, Integer> arrivals, Map<ModelId, Integer> waiting)
             implements PlacementEvent {}
 
     /**
      * An upstream has answered an order.
      *
-     * @param number the order
-     * @param incarnation the upstream's incarnation that answered
-     * @param sequence announcements of that incarnation from this one on show the effect
+     * @param number the fencing number of the order
+     * @param incarnation the incarnation that answered
+     * @param sequence the sequence number of the first announcement of that incarnation that shows
+     *     the effect
      * @param carriedOut whether the order was carried out
      */
     record Answered(long number, long incarnation, long sequence, boolean carriedOut)
@@ -49,8 +50,8 @@
     /**
      * An order got no answer.
      *
-     * @param number the order
-     * @param sent whether any byte of it may have left this host
+     * @param number the fencing number of the order
+     * @param sent whether any byte of it may have been sent
      */
     record Unanswered(long number, boolean sent) implements PlacementEvent {}
 
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementSettings.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementSettings.java
@@ -4,17 +4,17 @@
 import java.util.Objects;
 
 /**
- * The times of placement.
+ * The timing settings of placement.
  *
- * @param orderLifetime how long a copy of an order may stay on its way
+ * @param orderLifetime the maximum time for which a copy of an order may be in transit
  * @param resendAfter the wait before an unanswered order is sent again
  * @param decideEvery the interval between two decisions of the policy
- * @param zones how many zones share the weight store
+ * @param zones the number of zones that share the weight store
  */
 public record PlacementSettings(
         Duration orderLifetime, Duration resendAfter, Duration decideEvery, int zones) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public PlacementSettings {
         Objects.requireNonNull(orderLifetime, "orderLifetime");
         Objects.requireNonNull(resendAfter, "resendAfter");
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementViewBuilder.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementViewBuilder.java
@@ -19,15 +19,18 @@
 import java.util.Set;
 import java.util.function.ToIntFunction;
 
-/** Builds a policy's view of a zone from reports, the ledger, the demand and the deployment. */
+/**
+ * Builds the view of a zone from which a placement policy decides: from announcements, the order
+ * ledger, demand and the deployment.
+ */
 final class PlacementViewBuilder {
 
-    /** The version that artifacts without a version of their own carry. */
+    /** The version of artifacts that have no version of their own. */
     static final String ADAPTER_VERSION = "1";
 
     private final Map<UpstreamId, Map<Artifact, Long>> residentSince = new HashMap<>();
 
-    /** Notes since when each artifact is resident. */
+    /** Records since when each artifact is resident. */
     void recordResidents(Announcement report, long now) {
         Map<Artifact, Long> before = residentSince.getOrDefault(report.id(), Map.of());
         Map<Artifact, Long> after = new HashMap<>();
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/ShadowPlacement.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/ShadowPlacement.java
@@ -22,8 +22,8 @@
 import java.util.Set;
 
 /**
- * Lets a policy decide on the live demand without giving an order: its moves change a copy of the
- * zone's residency that starts from the real one.
+ * Evaluates a policy on the live demand without issuing orders. Its moves change a simulated copy
+ * of the zone's residency, which starts from the real one.
  */
 final class ShadowPlacement {
 
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/StarvationTracker.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/StarvationTracker.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Since when each model has been asked for without being resident anywhere. */
+/** Tracks since when each model has been requested without being resident anywhere. */
 final class StarvationTracker {
 
     private static final double NANOS_PER_SECOND = Duration.ofSeconds(1).toNanos();
 
     private final Map<ModelId, Long> since = new HashMap<>();
 
-    /** Notes that models were asked for; a model that is resident starves no more. */
+    /** Records requests for models, and ends the starvation of resident ones. */
     void recordRequests(Set<ModelId> models, Set<ModelId> resident, long now) {
         since.keySet().removeAll(resident);
         for (ModelId model : models) {
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/ZoneStoreLimiter.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/ZoneStoreLimiter.java
@@ -3,7 +3,10 @@
 import io.stackhall.core.config.WeightStoreSpec;
 import java.time.Duration;
 
-/** One zone's share of the weight store: loads at once, and loads a second. */
+/**
+ * Limits the loads from the weight store to one zone's share of concurrent loads and of loads per
+ * second.
+ */
 final class ZoneStoreLimiter {
 
     private static final double NANOS_PER_SECOND = Duration.ofSeconds(1).toNanos();
@@ -22,7 +25,7 @@
         store = spec;
     }
 
-    /** Returns how many loads may start now beside those that run. */
+    /** Returns the number of loads that may start now in addition to the running ones. */
     int availableLoads(int running, long now) {
         refill(now);
         return Math.max(0, Math.min(maxParallelLoads() - running, (int) tokens));
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/package-info.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Which model is loaded where: the ledger of orders, the memory account and the coordinator. */
+/** Placement of models on upstreams: the order ledger, memory accounting and the coordinator. */
 package io.stackhall.core.placement;
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyManager.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyManager.java
@@ -39,7 +39,7 @@
     private static final long DECIDE_NANOS = Duration.ofMillis(100).toNanos();
 
     /**
-     * At the first start, engines become known within two heartbeats. A decision taken earlier knew
+     * At the first start, engines become known within two heartbeats. A decision made earlier knew
      * one of eight engines, and unloaded a model there to make room for one that three others held.
      */
     private static final long DISCOVERY_NANOS = Duration.ofMillis(2500).toNanos();
--- a/stackhall-core/src/test/java/io/stackhall/core/placement/FakeZone.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/placement/FakeZone.java
@@ -22,7 +22,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A coordinator, its ledger and two engines, with messages that are lost, late and doubled. */
+/**
+ * A simulated zone with a coordinator, its ledger and two engines, whose messages are lost, delayed
+ * and duplicated.
+ */
 final class FakeZone {
 
     private static final long MILLI = Duration.ofMillis(1).toNanos();
@@ -31,7 +34,10 @@
     private static final long CAPACITY_MIB = 1000;
     private static final int MODELS = 6;
 
-    /** One engine's memory; it is written out so that overcommitment is seen, not trusted. */
+    /**
+     * A simulated engine. It accounts for its memory independently of the code under test, to
+     * detect overcommitment.
+     */
     private static final class FakeEngine {
         private final String id;
         private final boolean checked;
@@ -88,7 +94,7 @@
         }
     }
 
-    /** Something on its way. */
+    /** A message in transit. */
     private record InTransit(long arrivesAt, Runnable delivery) {}
 
     private final Random random;
@@ -121,14 +127,14 @@
                 case 1 -> restart(engines.get(random.nextInt(engines.size())));
                 case 2, 3, 4 -> demand(model(random.nextInt(MODELS)));
                 default -> {
-                    // Only time passes.
+                    // No event; only time passes.
                 }
             }
             step();
         }
     }
 
-    /** Lets the network be well and asks for every model until each has been resident. */
+    /** Runs without message faults, and requests every model until each has been resident. */
     void runWithoutFaults() {
         faults = false;
         for (int round = 0; round < 40; round++) {
@@ -197,7 +203,7 @@
         take(new PlacementEvent.Demanded(new HostId("h"), Map.of(model, 1), Map.of(model, 1)));
     }
 
-    /** Reports come late, but in order: the table drops the others. */
+    /** Reports are in order, because the instance table drops those out of order. */
     private void report(FakeEngine engine) {
         take(new PlacementEvent.Reported(engine.announcement()));
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/placement/PlacementProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/placement/PlacementProperties.java
@@ -5,7 +5,9 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** What holds for any sequence of lost, late and doubled orders, restarts and changes of leader. */
+/**
+ * Invariants under any sequence of lost, late and duplicated orders, restarts and leader changes.
+ */
 class PlacementProperties {
 
     @Property(tries = 300, seed = "20261202")
--- a/stackhall-core/src/test/java/io/stackhall/core/placement/package-info.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the package of the same name. */
+/** Tests of placement. */
 package io.stackhall.core.placement;
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementBenchmark.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementBenchmark.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Compares estimates of a model's demand, as told to the placement policy, with the one in use,
+ * Compares estimates of a model's demand, as passed to the placement policy, with the one in use,
  * over the same seeds. Run by {@code bin/bench replay}; prints the mean gain of each and its 95%
  * confidence interval.
  */
