--- a/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCoordinator.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCoordinator.java
@@ -24,11 +24,11 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Places models in one zone: while this host leads the zone's group it is the only giver of orders.
+ * Places models in one zone. While this host leads the zone's group, it is the only order issuer.
  *
- * <p>It asks the policy for moves, checks each against the memory account and the weight store's
- * limits, records the intent at the group's quorum, and only then has the order sent. What a policy
- * wants never overrides the account.
+ * <p>It asks the policy for moves, checks each against the memory account and the limits of the
+ * weight store, and records the intent at the group's quorum. Only then is the order sent. A policy
+ * never overrides the memory account.
  *
  * @see OrderLedger
  * @see MemoryAccount
@@ -38,16 +38,16 @@
     private static final long IDLE_DECISION_NANOS = Duration.ofSeconds(1).toNanos();
 
     private final PlacementSettings settings;
-    private final OrderTracks tracks;
-    private final ViewBuilder views = new ViewBuilder();
+    private final OrderTracker tracks;
+    private final PlacementViewBuilder views = new PlacementViewBuilder();
     private final DemandTracker demand = new DemandTracker();
-    private final Starvation starvation = new Starvation();
-    private final StoreShare store;
+    private final StarvationTracker starvation = new StarvationTracker();
+    private final ZoneStoreLimiter storeLimiter;
     private final TreeMap<String, Announcement> reports = new TreeMap<>();
     private final Map<UpstreamId, Proposed> proposed = new HashMap<>();
-    private final Set<Placed> speculative = new HashSet<>();
-    private final Set<Long> closing = new HashSet<>();
-    private final Set<Long> forgetting = new HashSet<>();
+    private final Set<Placement> speculative = new HashSet<>();
+    private final Set<Long> proposedCloses = new HashSet<>();
+    private final Set<Long> proposedForgets = new HashSet<>();
     private final List<PlacementEffect> effects = new ArrayList<>();
     private Optional<OrderLedger.State> orders = Optional.empty();
     private Configuration configuration = Configuration.initial();
@@ -55,47 +55,48 @@
     private Optional<ShadowPlacement> shadow = Optional.empty();
     private final Map<PolicyName, PlacementCounts> counts = new EnumMap<>(PolicyName.class);
     private long nextDecision;
-    private boolean pressing;
+    private boolean decisionRequested;
 
-    private record Placed(UpstreamId upstream, Artifact artifact) {}
+    private record Placement(UpstreamId upstream, Artifact artifact) {}
 
     private record Proposed(Optional<Artifact> load, long at) {}
 
     /** Creates a coordinator that does not lead. */
     public PlacementCoordinator(PlacementSettings settings, long now) {
         this.settings = settings;
-        this.tracks = new OrderTracks(settings);
-        this.store = new StoreShare(settings.zones(), now);
+        this.tracks = new OrderTracker(settings);
+        this.storeLimiter = new ZoneStoreLimiter(settings.zones(), now);
         this.nextDecision = now;
     }
 
     /**
-     * Takes one event.
+     * Processes an event.
      *
-     * @param event what has happened
+     * @param event the event
      * @param now the monotonic clock, in nanoseconds
-     * @return what to do, in order
+     * @return the actions to perform, in order
      */
     public List<PlacementEffect> step(PlacementEvent event, long now) {
-        pressing |= presses(event);
+        decisionRequested |= requestsDecision(event);
         switch (event) {
-            case PlacementEvent.Led(OrderLedger.State state) -> lead(state, now);
-            case PlacementEvent.Deposed() -> depose();
-            case PlacementEvent.LedgerChanged(OrderLedger.State state) -> follow(state, now);
-            case PlacementEvent.ProposalFailed(OrderCommand command) -> forget(command);
-            case PlacementEvent.Reported(Announcement announcement) -> report(announcement, now);
-            case PlacementEvent.UpstreamLost(UpstreamId upstream) -> lose(upstream);
+            case PlacementEvent.Led(OrderLedger.State state) -> startLeading(state, now);
+            case PlacementEvent.Deposed() -> stopLeading();
+            case PlacementEvent.LedgerChanged(OrderLedger.State state) -> updateLedger(state, now);
+            case PlacementEvent.ProposalFailed(OrderCommand command) -> onProposalFailed(command);
+            case PlacementEvent.Reported(Announcement announcement) ->
+                    recordReport(announcement, now);
+            case PlacementEvent.UpstreamLost(UpstreamId upstream) -> removeUpstream(upstream);
             case PlacementEvent.Configured(Configuration next) -> configure(next, now);
             case PlacementEvent.Demanded(
                             HostId host,
                             Map<ModelId, Integer> arrivals,
                             Map<ModelId, Integer> waiting) ->
-                    noteDemand(host, arrivals, waiting, now);
-            case PlacementEvent.Answered answered -> tracks.answered(answered);
+                    recordDemand(host, arrivals, waiting, now);
+            case PlacementEvent.Answered answered -> tracks.recordAnswer(answered);
             case PlacementEvent.Unanswered(long number, boolean sent) ->
-                    tracks.unanswered(number, sent, now);
+                    tracks.recordNoAnswer(number, sent, now);
             case PlacementEvent.Tick() -> {
-                // Everything below happens on every event.
+                // The steps below run on every event.
             }
         }
         if (orders.isPresent()) {
@@ -108,12 +109,12 @@
         return drained;
     }
 
-    /** Returns what the policy in force has cost and missed since this coordinator was created. */
+    /** Returns the counts of the policy in force since this coordinator was created. */
     public PlacementCounts counts() {
         return counts.getOrDefault(activePolicy(), PlacementCounts.none());
     }
 
-    /** Returns what each policy has cost and missed while it was in force. */
+    /** Returns the counts of each policy while it was in force. */
     public Map<PolicyName, PlacementCounts> countsByPolicy() {
         return Map.copyOf(counts);
     }
@@ -123,18 +124,18 @@
         return configuration.deployment().policy().active();
     }
 
-    /** Returns the policy that decides in shadow, if there is one. */
+    /** Returns the policy that is evaluated in shadow mode, if any. */
     public Optional<PolicyName> comparedPolicy() {
         return shadow.map(ShadowPlacement::policy);
     }
 
-    /** Returns what the compared policy would have cost and missed; nothing if there is none. */
+    /** Returns the counts of the compared policy, or zero counts if there is none. */
     public PlacementCounts comparedCounts() {
         return shadow.map(ShadowPlacement::counts).orElse(PlacementCounts.none());
     }
 
-    /** Returns whether an event may call for another decision before the idle interval is over. */
-    private boolean presses(PlacementEvent event) {
+    /** Returns whether an event may require a decision before the idle interval has passed. */
+    private boolean requestsDecision(PlacementEvent event) {
         return switch (event) {
             case PlacementEvent.Demanded demanded ->
                     demanded.waiting().values().stream().anyMatch(count -> count > 0);
@@ -154,30 +155,30 @@
         };
     }
 
-    private void lead(OrderLedger.State state, long now) {
+    private void startLeading(OrderLedger.State state, long now) {
         tracks.clear();
-        tracks.follow(state, true, now);
+        tracks.update(state, true, now);
         orders = Optional.of(state);
         nextDecision = now + settings.decideEvery().toNanos();
     }
 
-    private void depose() {
+    private void stopLeading() {
         orders = Optional.empty();
         tracks.clear();
         proposed.clear();
-        closing.clear();
-        forgetting.clear();
+        proposedCloses.clear();
+        proposedForgets.clear();
     }
 
-    private void follow(OrderLedger.State state, long now) {
+    private void updateLedger(OrderLedger.State state, long now) {
         if (orders.isEmpty()) {
             return;
         }
         orders = Optional.of(state);
-        tracks.follow(state, false, now);
+        tracks.update(state, false, now);
         state.open().forEach(order -> proposed.remove(order.upstream()));
-        closing.retainAll(numbers(state.open()));
-        forgetting.retainAll(numbers(state.echoes()));
+        proposedCloses.retainAll(numbers(state.open()));
+        proposedForgets.retainAll(numbers(state.echoes()));
     }
 
     private static Set<Long> numbers(List<Order> orders) {
@@ -186,22 +187,22 @@
         return numbers;
     }
 
-    private void forget(OrderCommand command) {
+    private void onProposalFailed(OrderCommand command) {
         switch (command) {
             case OrderCommand.Intend intend -> proposed.remove(intend.upstream());
-            case OrderCommand.Close(long number, boolean ignored) -> closing.remove(number);
-            case OrderCommand.ForgetEcho(long number) -> forgetting.remove(number);
+            case OrderCommand.Close(long number, boolean ignored) -> proposedCloses.remove(number);
+            case OrderCommand.ForgetEcho(long number) -> proposedForgets.remove(number);
         }
     }
 
-    private void report(Announcement announcement, long now) {
+    private void recordReport(Announcement announcement, long now) {
         reports.put(announcement.id().value(), announcement);
-        views.noteResidents(announcement, now);
+        views.recordResidents(announcement, now);
     }
 
-    private void lose(UpstreamId upstream) {
+    private void removeUpstream(UpstreamId upstream) {
         reports.remove(upstream.value());
-        views.forget(upstream);
+        views.remove(upstream);
     }
 
     private void configure(Configuration next, long now) {
@@ -211,41 +212,42 @@
         }
         configuration = next;
         policy = PlacementPolicy.of(activePolicy());
-        store.limits(next.deployment().weightStore());
+        storeLimiter.setLimits(next.deployment().weightStore());
         Set<ModelId> deployed = new HashSet<>();
         next.deployment().models().forEach(model -> deployed.add(model.id()));
         next.deployment().adapters().forEach(adapter -> deployed.add(adapter.id()));
         demand.retain(deployed);
     }
 
-    private void noteDemand(
+    private void recordDemand(
             HostId host, Map<ModelId, Integer> arrivals, Map<ModelId, Integer> waiting, long now) {
         Set<ModelId> resident = residentModels();
         arrivals.forEach(
-                (model, count) -> count(of -> of.withArrivals(count, !resident.contains(model))));
-        shadow.ifPresent(of -> of.arrived(arrivals, now));
-        starvation.asked(arrivals.keySet(), resident, now);
-        demand.report(host, arrivals, waiting, now);
+                (model, count) ->
+                        updateCounts(of -> of.withArrivals(count, !resident.contains(model))));
+        shadow.ifPresent(of -> of.recordArrivals(arrivals, now));
+        starvation.recordRequests(arrivals.keySet(), resident, now);
+        demand.recordReport(host, arrivals, waiting, now);
     }
 
     private void settleOrders(OrderLedger.State state, long now) {
         for (Order order : state.open()) {
             Announcement report = reports.get(order.upstream().value());
             if (report != null) {
-                tracks.settled(order, report, now).ifPresent(this::close);
+                tracks.closeIfSettled(order, report, now).ifPresent(this::close);
             }
         }
-        tracks.forgettable(state, reports, now).forEach(this::forgetEcho);
+        tracks.expiredEchoes(state, reports, now).forEach(this::forgetEcho);
     }
 
     private void close(OrderCommand.Close close) {
-        if (closing.add(close.number())) {
+        if (proposedCloses.add(close.number())) {
             effects.add(new PlacementEffect.Propose(close));
         }
     }
 
     private void forgetEcho(OrderCommand.ForgetEcho forgotten) {
-        if (forgetting.add(forgotten.number())) {
+        if (proposedForgets.add(forgotten.number())) {
             effects.add(new PlacementEffect.Propose(forgotten));
         }
     }
@@ -253,7 +255,7 @@
     private void sendOrders(OrderLedger.State state, long now) {
         for (Order order : state.open()) {
             Announcement report = reports.get(order.upstream().value());
-            if (report == null || closing.contains(order.number())) {
+            if (report == null || proposedCloses.contains(order.number())) {
                 continue;
             }
             if (tracks.neverSent(order) && !stillFits(order, report, state)) {
@@ -264,51 +266,51 @@
         }
     }
 
-    /** Checks again, with the order itself charged, what may have changed since it was decided. */
+    /** Checks again that the order fits, with the order charged: memory may have changed since. */
     private static boolean stillFits(Order order, Announcement report, OrderLedger.State state) {
         return order.kind() == Order.Kind.UNLOAD || MemoryAccount.of(report, state).freeMib() >= 0;
     }
 
     private void decide(OrderLedger.State state, long now) {
-        long due = pressing ? nextDecision : nextDecision + IDLE_DECISION_NANOS;
+        long due = decisionRequested ? nextDecision : nextDecision + IDLE_DECISION_NANOS;
         if (now - due < 0) {
             return;
         }
-        pressing = false;
+        decisionRequested = false;
         nextDecision = now + settings.decideEvery().toNanos();
         dropStaleProposals(now);
         List<PlacementView.Seat> seats =
                 views.seats(reports.values(), state, busy(state), configuration, now);
         List<PlacementView.Want> wants =
-                ViewBuilder.wants(
+                PlacementViewBuilder.wants(
                         configuration.deployment(),
                         demand,
                         model -> demand.waiting(model, now),
                         starvation,
                         residentModels(),
                         now);
-        int allowed = store.allowed(runningLoads(state), now);
+        int allowed = storeLimiter.availableLoads(runningLoads(state), now);
         for (Move move : policy.decide(new PlacementView(seats, wants, allowed, now))) {
-            carryOut(move, wants, state, now);
+            apply(move, wants, state, now);
         }
         shadow.ifPresent(of -> of.decide(seats, configuration.deployment(), demand, now));
     }
 
-    private void carryOut(
+    private void apply(
             Move move, List<PlacementView.Want> wants, OrderLedger.State state, long now) {
         Announcement report = reports.get(move.upstream().value());
         switch (move) {
             case Move.Load load -> {
                 long memoryMib = memoryOf(load.artifact(), wants);
                 if (MemoryAccount.of(report, state).admits(memoryMib)) {
-                    count(PlacementCounts::withLoad);
-                    store.started();
-                    noteIfSpeculative(load);
+                    updateCounts(PlacementCounts::withLoad);
+                    storeLimiter.recordLoad();
+                    recordIfSpeculative(load);
                     intend(report, Order.Kind.LOAD, load.artifact(), memoryMib, now);
                 }
             }
             case Move.Unload unload -> {
-                noteIfNeedless(unload, now);
+                countIfNeedless(unload, now);
                 intend(report, Order.Kind.UNLOAD, unload.artifact(), 0, now);
             }
         }
@@ -335,26 +337,26 @@
                                 highestSeen)));
     }
 
-    private void count(UnaryOperator<PlacementCounts> change) {
+    private void updateCounts(UnaryOperator<PlacementCounts> change) {
         counts.put(activePolicy(), change.apply(counts()));
     }
 
-    private void noteIfSpeculative(Move.Load load) {
+    private void recordIfSpeculative(Move.Load load) {
         if (!load.urgent()) {
-            speculative.add(new Placed(load.upstream(), load.artifact()));
+            speculative.add(new Placement(load.upstream(), load.artifact()));
         }
     }
 
-    /** A load that nobody waited for is needless if it is undone before anybody asked for it. */
-    private void noteIfNeedless(Move.Unload unload, long now) {
-        long since = views.since(unload.upstream(), unload.artifact(), now);
+    /** Counts a load that no request waited for and that was unloaded before any request came. */
+    private void countIfNeedless(Move.Unload unload, long now) {
+        long since = views.residentSince(unload.upstream(), unload.artifact(), now);
         boolean unused = demand.lastUsed(unload.artifact().id(), Long.MIN_VALUE) < since;
-        if (speculative.remove(new Placed(unload.upstream(), unload.artifact())) && unused) {
-            count(PlacementCounts::withNeedless);
+        if (speculative.remove(new Placement(unload.upstream(), unload.artifact())) && unused) {
+            updateCounts(PlacementCounts::withNeedlessLoad);
         }
     }
 
-    /** Returns the upstreams that may not be given another order, and what each may be loading. */
+    /** Returns the upstreams that cannot take another order, with what each may be loading. */
     private Map<UpstreamId, Optional<Artifact>> busy(OrderLedger.State state) {
         Map<UpstreamId, Optional<Artifact>> busy = new HashMap<>();
         proposed.forEach((upstream, of) -> busy.put(upstream, of.load()));
@@ -365,7 +367,7 @@
         return busy;
     }
 
-    /** A proposal of which nothing was heard for the lifetime of an order will not be applied. */
+    /** Drops proposals without a result for the lifetime of an order: they will not be applied. */
     private void dropStaleProposals(long now) {
         proposed.values().removeIf(of -> now - of.at() > settings.orderLifetime().toNanos());
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/StoreShare.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/ZoneStoreLimiter.java
@@ -3,8 +3,11 @@
 import io.stackhall.core.config.WeightStoreSpec;
 import java.time.Duration;
 
-/** One zone's share of the weight store: loads at once, and loads a second. */
-final class StoreShare {
+/**
+ * Limits the loads from the weight store to one zone's share of concurrent loads and of loads per
+ * second.
+ */
+final class ZoneStoreLimiter {
 
     private static final double NANOS_PER_SECOND = Duration.ofSeconds(1).toNanos();
 
@@ -13,32 +16,32 @@
     private double tokens = 1;
     private long refilledAt;
 
-    StoreShare(int zones, long now) {
+    ZoneStoreLimiter(int zones, long now) {
         this.zones = zones;
         this.refilledAt = now;
     }
 
-    void limits(WeightStoreSpec spec) {
+    void setLimits(WeightStoreSpec spec) {
         store = spec;
     }
 
-    /** Returns how many loads may start now beside those that run. */
-    int allowed(int running, long now) {
+    /** Returns the number of loads that may start now in addition to the running ones. */
+    int availableLoads(int running, long now) {
         refill(now);
-        return Math.max(0, Math.min(parallel() - running, (int) tokens));
+        return Math.max(0, Math.min(maxParallelLoads() - running, (int) tokens));
     }
 
-    void started() {
+    void recordLoad() {
         tokens -= 1;
     }
 
-    private int parallel() {
+    private int maxParallelLoads() {
         return Math.max(1, store.parallelLoads() / zones);
     }
 
     private void refill(long now) {
         double seconds = (now - refilledAt) / NANOS_PER_SECOND;
-        tokens = Math.min(parallel(), tokens + seconds * store.loadsPerSecond() / zones);
+        tokens = Math.min(maxParallelLoads(), tokens + seconds * store.loadsPerSecond() / zones);
         refilledAt = now;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineViews.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineViewBuilder.java
@@ -16,37 +16,38 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What the engines of one service hold, as a placement policy sees it. */
-final class EngineViews {
+/** Builds the view of the engines of one service from which a placement policy decides. */
+final class EngineViewBuilder {
 
     private static final String ANY_VERSION = "";
 
-    private final List<EngineLedger> engines;
+    private final List<EngineTracker> engines;
     private final EngineSpec spec;
 
-    /** Creates the views of those engines of a service that are not lost. */
-    EngineViews(Collection<EngineLedger> all, ServiceName service, EngineSpec spec) {
+    /** Creates a builder over the engines of a service that are not lost. */
+    EngineViewBuilder(Collection<EngineTracker> candidates, ServiceName service, EngineSpec spec) {
         this.engines =
-                all.stream()
+                candidates.stream()
                         .filter(engine -> engine.instance().service().equals(service))
-                        .filter(engine -> !engine.lost())
+                        .filter(engine -> !engine.isLost())
                         .toList();
         this.spec = spec;
     }
 
-    /** Returns how many engines hold each model. */
-    Map<ModelId, Integer> copies() {
+    /** Returns the number of engines that hold each model. */
+    Map<ModelId, Integer> copyCounts() {
         Map<ModelId, Integer> copies = new HashMap<>();
-        for (EngineLedger engine : engines) {
+        for (EngineTracker engine : engines) {
             engine.instance().models().forEach(copy -> copies.merge(copy.model(), 1, Integer::sum));
         }
         return copies;
     }
 
     /**
-     * Returns what a policy decides from.
+     * Returns the view for a placement decision.
      *
-     * @param storeLoads how many loads from the weight store may begin now
+     * @param storeLoads the number of loads from the weight store that may start now
+     * @param saturatingRate the request rate per second that saturates one engine
      */
     PlacementView view(ModelDemand demand, int storeLoads, double saturatingRate, long now) {
         List<PlacementView.Seat> seats = new ArrayList<>();
@@ -58,7 +59,7 @@
         return new PlacementView(seats, wants, storeLoads, saturatingRate, now);
     }
 
-    private PlacementView.Seat seat(EngineLedger engine) {
+    private PlacementView.Seat seat(EngineTracker engine) {
         Instance instance = engine.instance();
         List<PlacementView.Held> held = new ArrayList<>();
         for (ModelCopy copy : engine.models()) {
@@ -70,14 +71,14 @@
                                             .orElse(0.0));
             held.add(
                     new PlacementView.Held(
-                            artifact(copy.model()), size, engine.since(copy.model())));
+                            artifact(copy.model()), size, engine.residentSince(copy.model())));
         }
-        Map<ModelId, Duration> near = new HashMap<>();
+        Map<ModelId, Duration> localLoadTimes = new HashMap<>();
         for (ModelWeights weights : spec.models().values()) {
             if (instance.inHostMemory().contains(weights.model())) {
-                near.put(weights.model(), weights.loadFromMemory());
+                localLoadTimes.put(weights.model(), weights.loadFromMemory());
             } else if (instance.onDisk().contains(weights.model())) {
-                near.put(weights.model(), weights.loadFromDisk());
+                localLoadTimes.put(weights.model(), weights.loadFromDisk());
             }
         }
         return new PlacementView.Seat(
@@ -85,9 +86,9 @@
                 (long) Math.floor(engine.freeMb(spec)),
                 instance.slots(),
                 held,
-                !engine.ready(),
-                engine.loading().map(EngineViews::artifact),
-                near,
+                !engine.isReadyForOrder(),
+                engine.loadingModel().map(EngineViewBuilder::artifact),
+                localLoadTimes,
                 Optional.of(instance.zone()));
     }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/fleet/InstanceTableTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/fleet/InstanceTableTest.java
@@ -1,7 +1,7 @@
 package io.stackhall.core.fleet;
 
+import static io.stackhall.core.fleet.Instances.incarnation;
 import static io.stackhall.core.fleet.Instances.instance;
-import static io.stackhall.core.fleet.Instances.life;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.stackhall.core.id.UpstreamId;
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** What reports that come late, doubled and out of order make of the list of upstreams. */
+/** Tests of the instance table under late, duplicated and reordered reports. */
 class InstanceTableTest {
 
     private static final Duration SILENCE = Duration.ofSeconds(6);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void drainingIsNotTakenBackByAReportThatWasOnItsWay() {
+    void drainingIsNotRevertedByALaterReport() {
         table.merge(instance("a", 5), 0);
         table.merge(instance("a", 7).withState(InstanceState.DRAINING), 0);
         table.merge(instance("a", 8), 0);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void drainingThatALaterReportHasOvertakenCounts() {
+    void drainingReportThatALaterReportHasOvertakenStillCounts() {
         table.merge(instance("a", 8), 0);
         assertThat(table.merge(instance("a", 7).withState(InstanceState.DRAINING), 0)).hasSize(1);
         assertThat(table.find(new UpstreamId("a")).orElseThrow())
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void whatIsGoneNeverComesBack() {
+    void goneInstanceNeverComesBack() {
         table.merge(instance("a", 5), 0);
         table.remove(new UpstreamId("a"));
         assertThat(table.merge(instance("a", 9), 0)).isEmpty();
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void wordOfSilenceFromBeforeALaterReportChangesNothing() {
+    void silentReportOlderThanALaterReportChangesNothing() {
         table.merge(instance("a", 6), 0);
         assertThat(table.merge(instance("a", 5).withState(InstanceState.SILENT), 0)).isEmpty();
     }
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void successorAtTheSameAddressTakesThePlaceOfOneThatIsSilent() {
+    void successorAtTheSameAddressReplacesASilentInstance() {
         table.merge(instance("old", "10.0.0.1:80", 90), 0);
         List<Instance> changed = table.merge(instance("new", "10.0.0.1:80", 1), 4 * SECOND);
         assertThat(changed)
@@ -96,9 +96,9 @@
     }
 
     @Test
-    void upstreamThatStartsAgainUnderItsNameBeginsANewLife() {
-        table.merge(life("a", 100, 90, "old"), 0);
-        assertThat(table.merge(life("a", 200, 1), SECOND))
+    void restartUnderTheSameNameBeginsANewIncarnation() {
+        table.merge(incarnation("a", 100, 90, "old"), 0);
+        assertThat(table.merge(incarnation("a", 200, 1), SECOND))
                 .extracting(Instance::state)
                 .containsExactly(InstanceState.GONE, InstanceState.READY);
         assertThat(table.find(new UpstreamId("a", 200)).orElseThrow().models()).isEmpty();
@@ -106,57 +106,57 @@
     }
 
     @Test
-    void lateHeartbeatOfAnEarlierLifeChangesNothing() {
-        table.merge(life("a", 100, 90), 0);
-        table.merge(life("a", 200, 1), SECOND);
-        assertThat(table.merge(life("a", 100, 91), 60 * SECOND)).isEmpty();
+    void lateHeartbeatOfAnEarlierIncarnationChangesNothing() {
+        table.merge(incarnation("a", 100, 90), 0);
+        table.merge(incarnation("a", 200, 1), SECOND);
+        assertThat(table.merge(incarnation("a", 100, 91), 60 * SECOND)).isEmpty();
         assertThat(table.all()).extracting(Instance::id).containsExactly(new UpstreamId("a", 200));
     }
 
     @Test
-    void drainingOfAnEarlierLifeDoesNotBindTheNext() {
-        table.merge(life("a", 100, 90).withState(InstanceState.DRAINING), 0);
-        table.merge(life("a", 200, 1), SECOND);
+    void drainingOfAnEarlierIncarnationDoesNotApplyToTheNext() {
+        table.merge(incarnation("a", 100, 90).withState(InstanceState.DRAINING), 0);
+        table.merge(incarnation("a", 200, 1), SECOND);
         assertThat(table.find(new UpstreamId("a", 200)).orElseThrow().state())
                 .isEqualTo(InstanceState.READY);
     }
 
     @Test
-    void lifeThatEndedComesBackOnlyAsALaterOne() {
-        table.merge(life("a", 100, 90), 0);
+    void goneIncarnationIsSucceededOnlyByALaterOne() {
+        table.merge(incarnation("a", 100, 90), 0);
         table.remove(new UpstreamId("a"));
-        assertThat(table.merge(life("a", 100, 91), SECOND)).isEmpty();
-        assertThat(table.merge(life("a", 200, 1), SECOND)).hasSize(1);
+        assertThat(table.merge(incarnation("a", 100, 91), SECOND)).isEmpty();
+        assertThat(table.merge(incarnation("a", 200, 1), SECOND)).hasSize(1);
     }
 
     @Test
-    void lateWordThatAnEarlierLifeEndsDoesNotEndTheNext() {
-        table.merge(life("a", 200, 1), 0);
+    void lateRemovalOfAnEarlierIncarnationDoesNotRemoveTheNext() {
+        table.merge(incarnation("a", 200, 1), 0);
         assertThat(table.remove(new UpstreamId("a", 100))).isEmpty();
         assertThat(table.find(new UpstreamId("a", 200))).isPresent();
     }
 
     @Test
-    void startOnAClockThatSteppedBackIsTakenOnceTheLifeBeforeIsNotHeardAnyMore() {
-        table.merge(life("a", 200, 90), 0);
-        assertThat(table.merge(life("a", 150, 1), SECOND)).isEmpty();
-        assertThat(table.merge(life("a", 150, 3), 3 * SECOND)).hasSize(2);
+    void startAfterAClockStepBackIsAcceptedOnceThePreviousIncarnationIsSilent() {
+        table.merge(incarnation("a", 200, 90), 0);
+        assertThat(table.merge(incarnation("a", 150, 1), SECOND)).isEmpty();
+        assertThat(table.merge(incarnation("a", 150, 3), 3 * SECOND)).hasSize(2);
         assertThat(table.all()).extracting(Instance::id).containsExactly(new UpstreamId("a", 150));
     }
 
     @Property(tries = 300)
-    void onlyTheLatestLifeOfANameIsKept(@ForAll long seed) {
+    void onlyTheLatestIncarnationOfANameIsKept(@ForAll long seed) {
         Random random = new Random(seed);
-        InstanceTable lives = new InstanceTable(SILENCE);
+        InstanceTable incarnations = new InstanceTable(SILENCE);
         long latest = 0;
         for (int number = 0; number < 20; number++) {
             long born = 100L + random.nextInt(5);
             latest = Math.max(latest, born);
-            Instance report = life("a", born, 1 + random.nextInt(6));
-            lives.merge(
+            Instance report = incarnation("a", born, 1 + random.nextInt(6));
+            incarnations.merge(
                     random.nextInt(4) == 0 ? report.withState(InstanceState.DRAINING) : report, 0);
             UpstreamId expected = new UpstreamId("a", latest);
-            assertThat(lives.all()).extracting(Instance::id).containsExactly(expected);
+            assertThat(incarnations.all()).extracting(Instance::id).containsExactly(expected);
         }
     }
 
@@ -166,10 +166,11 @@
         List<Instance> reports = new ArrayList<>();
         for (int number = 0; number < 12; number++) {
             String name = "i" + random.nextInt(3);
-            boolean tells = random.nextBoolean();
+            boolean hasStartTime = random.nextBoolean();
             Instance report =
-                    tells
-                            ? life(name + "t", 100L + random.nextInt(2), 1 + random.nextInt(6))
+                    hasStartTime
+                            ? incarnation(
+                                    name + "t", 100L + random.nextInt(2), 1 + random.nextInt(6))
                             : instance(name, 1 + random.nextInt(6));
             int kind = random.nextInt(8);
             reports.add(
--- a/stackhall-core/src/test/java/io/stackhall/core/fleet/Instances.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/fleet/Instances.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Makes instances for tests. */
+/** Factory of instances for tests. */
 public final class Instances {
 
     /** The service of every instance made here. */
@@ -22,20 +22,21 @@
         return instance(id, "10.0.0." + id.length() + ":" + id.hashCode(), sequence, models);
     }
 
-    /** Returns an instance that stays slow for a while. */
-    public static Instance cold(String id, Duration left) {
+    /** Returns an instance that is still slow after its start. */
+    public static Instance coldInstance(String id, Duration left) {
         Instance instance = instance(id, 1);
         return with(instance, instance.id(), instance.zone(), left);
     }
 
     /** Returns an instance of another zone that holds some models. */
-    public static Instance elsewhere(String zone, String id, long sequence, String... models) {
+    public static Instance instanceInZone(String zone, String id, long sequence, String... models) {
         Instance instance = instance(id, sequence, models);
         return with(instance, instance.id(), new ZoneId(zone), instance.cold());
     }
 
-    /** Returns one life of an instance that tells when it started. */
-    public static Instance life(String id, long bornMillis, long sequence, String... models) {
+    /** Returns an incarnation with a known start time. */
+    public static Instance incarnation(
+            String id, long bornMillis, long sequence, String... models) {
         Instance instance = instance(id, sequence, models);
         return with(instance, new UpstreamId(id, bornMillis), instance.zone(), instance.cold());
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/EngineCapacityTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/EngineCapacityTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What engines can do, learned from what they have done. */
+/** Tests of the estimated engine capacity. */
 class EngineCapacityTest {
 
     private static final UpstreamId ENGINE = new UpstreamId("e");
@@ -19,31 +19,31 @@
     private long now;
 
     @Test
-    void rateThatIsAnsweredInTimeIsWithinIt() {
-        answers(3, 0, 30);
-        assertThat(capacity.perSecond()).isCloseTo(30, within(3.0));
+    void rateAnsweredInTimeIsWithinCapacity() {
+        recordAnswers(3, 0, 30);
+        assertThat(capacity.requestsPerSecond()).isCloseTo(30, within(3.0));
     }
 
     @Test
-    void rateThatIsAnsweredSlowlyIsBeyondIt() {
-        answers(3, 0, 30);
-        answers(1, 1, 300);
-        assertThat(capacity.perSecond()).isBetween(10.0, 15.0);
+    void rateAnsweredSlowlyIsBeyondCapacity() {
+        recordAnswers(3, 0, 30);
+        recordAnswers(1, 1, 300);
+        assertThat(capacity.requestsPerSecond()).isBetween(10.0, 15.0);
     }
 
     @Test
-    void fewAnswersTellNothing() {
+    void fewAnswersLeaveTheEstimateUnchanged() {
         for (int i = 0; i < 20; i++) {
             now += 5 * STEP;
-            capacity.worked(Map.of(ENGINE, new InstanceWork(1, 1, 1)), now);
+            capacity.recordWork(Map.of(ENGINE, new InstanceWork(1, 1, 1)), now);
         }
-        assertThat(capacity.perSecond()).isEqualTo(8);
+        assertThat(capacity.requestsPerSecond()).isEqualTo(8);
     }
 
-    private void answers(int answered, int slow, int times) {
+    private void recordAnswers(int answered, int slow, int times) {
         for (int i = 0; i < times; i++) {
             now += STEP;
-            capacity.worked(Map.of(ENGINE, new InstanceWork(9, answered, slow)), now);
+            capacity.recordWork(Map.of(ENGINE, new InstanceWork(9, answered, slow)), now);
         }
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/EngineLivesTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/EngineIncarnationTest.java
@@ -1,6 +1,6 @@
 package io.stackhall.core.residency;
 
-import static io.stackhall.core.fleet.Instances.life;
+import static io.stackhall.core.fleet.Instances.incarnation;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.stackhall.core.fleet.ModelCopy;
@@ -10,20 +10,20 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Orders to an engine that starts again under its name. */
-class EngineLivesTest extends KeeperFixture {
+/** Tests of orders to an engine that restarts under the same name. */
+class EngineIncarnationTest extends ResidencyManagerFixture {
 
     @Test
-    void engineThatStartsAgainUnderItsNameIsCountedAnew() {
-        keeper.known(List.of(life("e", 100, 90, "a")), now);
-        readLife(100, 7);
-        waitsFor("b");
+    void restartedEngineIsCountedFromZero() {
+        manager.updateInstances(List.of(incarnation("e", 100, 90, "a")), now);
+        reportOrdersTaken(100, 7);
+        requestsWaitFor("b");
         EngineOrder open = onlyOrder();
-        keeper.answered(open, EngineAnswer.UNKNOWN, now);
-        keeper.known(List.of(life("e", 200, 1)), now);
-        pass(3000);
-        readLife(200, 0);
-        waitsFor("b");
+        manager.onAnswer(open, EngineAnswer.UNKNOWN, now);
+        manager.updateInstances(List.of(incarnation("e", 200, 1)), now);
+        advanceMillis(3000);
+        reportOrdersTaken(200, 0);
+        requestsWaitFor("b");
         EngineOrder order = onlyOrder();
         assertThat(order.instance()).isEqualTo(new UpstreamId("e", 200));
         assertThat(order.expectedTaken()).isZero();
@@ -31,21 +31,21 @@
     }
 
     @Test
-    void accountOfAnEarlierLifeIsNotCounted() {
-        keeper.known(List.of(life("e", 200, 1)), now);
-        keeper.read(
+    void reportOfAnEarlierIncarnationIsIgnored() {
+        manager.updateInstances(List.of(incarnation("e", 200, 1)), now);
+        manager.onReport(
                 new UpstreamId("e", 200),
                 new EngineReport(100, 7, false, List.of(copyOf("a"), copyOf("c"))),
                 now);
-        waitsFor("b");
+        requestsWaitFor("b");
         assertThat(orders()).isEmpty();
-        pass(500);
-        readLife(200, 0);
+        advanceMillis(500);
+        reportOrdersTaken(200, 0);
         assertThat(onlyOrder().expectedTaken()).isZero();
     }
 
-    private void readLife(long born, long taken) {
-        keeper.read(
+    private void reportOrdersTaken(long born, long taken) {
+        manager.onReport(
                 new UpstreamId("e", born), new EngineReport(born, taken, false, List.of()), now);
     }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/LimitedEnginesReplayTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/LimitedEnginesReplayTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Two engines of thirteen that take one request a second, among more models than there are places:
- * placement that leaves them out, and placement that goes by demand alone.
+ * Compares placement that leaves out engines with a request limit to placement by demand alone. Two
+ * of thirteen engines accept one request per second, and there are more models than model slots.
  */
 class LimitedEnginesReplayTest {
 
@@ -18,31 +18,31 @@
     private static final double PER_SECOND = 1;
 
     @Test
-    void engineThatTakesLittleIsBetterPlacedOnThanLeftOut() {
+    void placingOnLimitedEnginesServesMoreInTimeThanLeavingThemOut() {
         assertThat(urgentInTime(false)).isGreaterThan(urgentInTime(true));
         assertThat(patientInTime(false)).isGreaterThan(patientInTime(true));
     }
 
     private static double urgentInTime(boolean leftOut) {
         return LongStream.range(0, SEEDS)
-                .mapToDouble(seed -> play(seed, leftOut).urgentInTime())
+                .mapToDouble(seed -> run(seed, leftOut).urgentInTime())
                 .average()
                 .orElseThrow();
     }
 
     private static double patientInTime(boolean leftOut) {
         return LongStream.range(0, SEEDS)
-                .mapToDouble(seed -> play(seed, leftOut).patientInTime())
+                .mapToDouble(seed -> run(seed, leftOut).patientInTime())
                 .average()
                 .orElseThrow();
     }
 
-    private static PlacementReplay.Outcome play(long seed, boolean leftOut) {
+    private static PlacementReplay.Outcome run(long seed, boolean leftOut) {
         return new PlacementReplay(
                         seed,
                         PlacementPolicy.of(PolicyName.NEAREST_COPY),
                         (model, asked, nearest) -> asked)
                 .limited(LIMITED, PER_SECOND, leftOut)
-                .play();
+                .run();
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/ModelDemandTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ModelDemandTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What counts as asked for. */
+/** Tests of the demand estimate. */
 class ModelDemandTest {
 
     private static final ModelId MODEL = new ModelId("m");
@@ -17,42 +17,42 @@
     private final ModelDemand demand = new ModelDemand();
 
     @Test
-    void severalCopiesAtTheStartCountUntilRequestsTell() {
-        demand.expect(MODEL, 2);
+    void severalCopiesAtTheStartCountAsDemandUntilRequestsArrive() {
+        demand.assumeDemand(MODEL, 2);
         assertThat(demand.ratePerSecond(MODEL, at(60_000))).isEqualTo(6);
-        demand.reported(HOST, Map.of(new ModelId("other"), 1), Map.of(), at(60_000));
+        demand.recordReport(HOST, Map.of(new ModelId("other"), 1), Map.of(), at(60_000));
         assertThat(demand.ratePerSecond(MODEL, at(64_000))).isEqualTo(6);
         assertThat(demand.ratePerSecond(MODEL, at(66_000))).isZero();
     }
 
     @Test
-    void oneCopyTellsNothing() {
-        demand.expect(MODEL, 1);
+    void oneCopyImpliesNoDemand() {
+        demand.assumeDemand(MODEL, 1);
         assertThat(demand.ratePerSecond(MODEL, at(0))).isZero();
     }
 
     @Test
     void riseShowsWithinTwoSecondsAndFallLater() {
         for (int tenth = 1; tenth <= 20; tenth++) {
-            demand.reported(HOST, Map.of(MODEL, 1), Map.of(), at(tenth * 100L));
+            demand.recordReport(HOST, Map.of(MODEL, 1), Map.of(), at(tenth * 100L));
         }
         assertThat(demand.ratePerSecond(MODEL, at(2000))).isBetween(4.5, 6.0);
         assertThat(demand.ratePerSecond(MODEL, at(10_000))).isGreaterThan(0.7);
     }
 
-    /** Demand for one model of 30 a second that moves away at once. */
+    /** Demand of 30 requests a second for one model that stops at once. */
     @Test
-    void fallOfABusyModelIsBelievedWithinFiveSeconds() {
+    void fallOfABusyModelIsAcceptedWithinFiveSeconds() {
         for (int tenth = 1; tenth <= 100; tenth++) {
-            demand.reported(HOST, Map.of(MODEL, 3), Map.of(), at(tenth * 100L));
+            demand.recordReport(HOST, Map.of(MODEL, 3), Map.of(), at(tenth * 100L));
         }
         assertThat(demand.ratePerSecond(MODEL, at(10_000))).isGreaterThan(25);
         assertThat(demand.ratePerSecond(MODEL, at(15_000))).isLessThan(6);
     }
 
     @Test
-    void waitingForAModelThatNobodyServesAddsUp() {
-        demand.reported(HOST, Map.of(MODEL, 1), Map.of(MODEL, 1), at(0));
+    void waitingForAModelThatNoEngineServesAccumulates() {
+        demand.recordReport(HOST, Map.of(MODEL, 1), Map.of(MODEL, 1), at(0));
         assertThat(demand.starvedSeconds(MODEL, false, at(0))).isZero();
         assertThat(demand.starvedSeconds(MODEL, false, at(1500))).isEqualTo(1.5);
         assertThat(demand.starvedSeconds(MODEL, true, at(1600))).isZero();
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/OrderHandoverTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/OrderHandoverTest.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** Who waits for its predecessor. */
+/** Tests of which order issuer waits for its predecessor. */
 class OrderHandoverTest {
 
     private static final long ELECTED = Duration.ofSeconds(100).toNanos();
@@ -16,25 +16,26 @@
     private final OrderHandover unfenced = new OrderHandover(false, PAUSE);
 
     @Test
-    void predecessorInReachIsAlwaysGivenItsTime() {
-        assertThat(fenced.mayBegin(Predecessor.REACHABLE, ELECTED, after(2999))).isFalse();
-        assertThat(fenced.mayBegin(Predecessor.REACHABLE, ELECTED, after(3000))).isTrue();
+    void reachablePredecessorIsAlwaysWaitedFor() {
+        assertThat(fenced.mayIssueOrders(Predecessor.REACHABLE, ELECTED, after(2999))).isFalse();
+        assertThat(fenced.mayIssueOrders(Predecessor.REACHABLE, ELECTED, after(3000))).isTrue();
     }
 
     @Test
-    void predecessorOutOfReachIsNotWaitedForWhereEnginesCheckTheFence() {
-        assertThat(fenced.mayBegin(Predecessor.UNREACHABLE, ELECTED, after(0))).isTrue();
+    void unreachablePredecessorIsNotWaitedForWhereEnginesCheckFencing() {
+        assertThat(fenced.mayIssueOrders(Predecessor.UNREACHABLE, ELECTED, after(0))).isTrue();
     }
 
     @Test
-    void predecessorOutOfReachIsGivenItsTimeWhereEnginesDoNot() {
-        assertThat(unfenced.mayBegin(Predecessor.UNREACHABLE, ELECTED, after(2999))).isFalse();
-        assertThat(unfenced.mayBegin(Predecessor.UNREACHABLE, ELECTED, after(3000))).isTrue();
+    void unreachablePredecessorIsWaitedForWhereEnginesDoNotCheckFencing() {
+        assertThat(unfenced.mayIssueOrders(Predecessor.UNREACHABLE, ELECTED, after(2999)))
+                .isFalse();
+        assertThat(unfenced.mayIssueOrders(Predecessor.UNREACHABLE, ELECTED, after(3000))).isTrue();
     }
 
     @Test
-    void firstGiverOfOrdersBeginsAtOnce() {
-        assertThat(unfenced.mayBegin(Predecessor.NONE, ELECTED, after(0))).isTrue();
+    void firstOrderIssuerStartsAtOnce() {
+        assertThat(unfenced.mayIssueOrders(Predecessor.NONE, ELECTED, after(0))).isTrue();
     }
 
     private static long after(long millis) {
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplay.java
@@ -20,41 +20,49 @@
 import java.util.Random;
 
 /**
- * Models that are asked for, more than there are places for, by urgent callers, whose demand moves
- * on to other models, and by patient ones, who ask for many models rarely. The real policy and the
- * real count of demand decide over modelled engines: places, weights in host memory and on disk,
- * loads, and prompts that are read one after the other. Times are in milliseconds.
+ * Simulates placement with more requested models than model slots. Urgent callers, whose demand
+ * shifts to other models, compete with patient ones, who request many models rarely. The production
+ * policy and demand estimate run against simulated engines with model slots, weights in host memory
+ * and on disk, load times, and sequential prompt processing. Times are in milliseconds.
  */
 final class PlacementReplay {
 
-    /** How a model's demand is told to the policy. */
-    interface Way {
-        /** Returns the requests a second that a model is taken for. */
+    /** Computes the demand for a model that the policy is given. */
+    interface DemandEstimate {
+        /**
+         * Returns the request rate per second.
+         *
+         * @param asked the measured rate
+         * @param nearestLoad the duration of the fastest possible load
+         */
         double rate(Model model, double asked, long nearestLoad);
     }
 
-    /** Whoever asks for a model. */
+    /** The kind of caller that requests a model. */
     enum Kind {
         URGENT(400, 5_000),
         PATIENT(6_000, 20_000);
 
-        private final long objective;
+        private final long objectiveMillis;
         private final long deadline;
 
         Kind(long objective, long deadline) {
-            this.objective = objective;
+            this.objectiveMillis = objective;
             this.deadline = deadline;
         }
 
-        long objective() {
-            return objective;
+        long objectiveMillis() {
+            return objectiveMillis;
         }
     }
 
-    /** What became of the requests of each kind, as shares of those asked, and the loads. */
+    /**
+     * The shares of requests of each kind answered within the latency objective, and the numbers of
+     * loads.
+     */
     record Outcome(double urgentInTime, double patientInTime, int loads, int storeLoads) {}
 
-    /** A model and who asks for it. */
+    /** A model and the kind of caller that requests it. */
     record Model(ModelId id, Kind kind) {
         Artifact artifact() {
             return new Artifact(id, "");
@@ -67,7 +75,7 @@
     private static final long LIMITED_FROM = 8_000;
     private static final int SHIFT_BY = 3;
     private static final int ENGINES = 13;
-    private static final int PLACES = 3;
+    private static final int MODEL_SLOTS = 3;
     private static final int URGENT_MODELS = 20;
     private static final int BUSY_MODELS = 7;
     private static final int PATIENT_MODELS = 37;
@@ -80,7 +88,7 @@
     private static final HostId HOST = new HostId("host");
 
     private final Random random;
-    private final Way way;
+    private final DemandEstimate estimate;
     private final PlacementPolicy policy;
     private final ModelDemand demand = new ModelDemand();
     private final List<Model> models = new ArrayList<>();
@@ -98,10 +106,10 @@
 
     private record Request(long at) {}
 
-    PlacementReplay(long seed, PlacementPolicy policy, Way way) {
+    PlacementReplay(long seed, PlacementPolicy policy, DemandEstimate estimate) {
         this.random = new Random(seed);
         this.policy = policy;
-        this.way = way;
+        this.estimate = estimate;
         for (int number = 0; number < URGENT_MODELS; number++) {
             models.add(new Model(new ModelId("u" + number), Kind.URGENT));
         }
@@ -112,13 +120,13 @@
             engines.add(new ReplayEngine(number));
         }
         models.forEach(model -> waiting.put(model, new ArrayDeque<>()));
-        fill();
+        placeInitialModels();
     }
 
     /**
-     * Lets some engines take only so many requests a second, from the eighth second on.
+     * Limits the request rate of some engines from the eighth second on.
      *
-     * @param leftOut whether the policy is told nothing of these engines from then on
+     * @param leftOut whether these engines are hidden from the policy from then on
      */
     PlacementReplay limited(int count, double perSecond, boolean leftOut) {
         limitedLeftOut = leftOut;
@@ -127,7 +135,7 @@
         return this;
     }
 
-    Outcome play() {
+    Outcome run() {
         for (long now = 0; now < LENGTH; now += ReplayEngine.STEP) {
             if (now % SHIFT_EVERY == 0 && now > 0) {
                 firstBusy = (firstBusy + SHIFT_BY) % URGENT_MODELS;
@@ -135,9 +143,9 @@
             if (now == LIMITED_FROM) {
                 engines.subList(0, limitedEngines).forEach(engine -> engine.limit(limitPerSecond));
             }
-            engines.forEach(ReplayEngine::earnPermits);
+            engines.forEach(ReplayEngine::refillPermits);
             arrive(now);
-            endOrders(now);
+            completeOrders(now);
             if (now % DECIDE_EVERY == 0) {
                 decide(now);
             }
@@ -150,8 +158,11 @@
         return inTime.getOrDefault(kind, 0) / (double) asked.getOrDefault(kind, 1);
     }
 
-    /** Busy models first, on several engines, then one copy of each while there is room. */
-    private void fill() {
+    /**
+     * Places two copies of each busy model, then one copy of every other model while slots are
+     * free.
+     */
+    private void placeInitialModels() {
         int at = 0;
         for (int copy = 0; copy < 2; copy++) {
             for (int number = 0; number < BUSY_MODELS; number++) {
@@ -160,17 +171,17 @@
         }
         for (Model model : models.subList(BUSY_MODELS, models.size())) {
             ReplayEngine engine = engines.get(at++ % ENGINES);
-            if (engine.held.size() < PLACES) {
+            if (engine.held.size() < MODEL_SLOTS) {
                 hold(engine, model.id());
             } else {
-                engine.keep(model.id());
+                engine.cacheWeights(model.id());
             }
         }
     }
 
     private static void hold(ReplayEngine engine, ModelId model) {
         engine.held.put(model, 0L);
-        engine.keep(model);
+        engine.cacheWeights(model);
     }
 
     private void arrive(long now) {
@@ -202,8 +213,8 @@
                         ReplayEngine engine = holder.get();
                         engine.permits -= 1;
                         engine.promptsReadAt = Math.max(now, engine.promptsReadAt) + PROMPT;
-                        engine.keep(model.id());
-                        if (engine.promptsReadAt - request.at() <= model.kind().objective) {
+                        engine.cacheWeights(model.id());
+                        if (engine.promptsReadAt - request.at() <= model.kind().objectiveMillis) {
                             inTime.merge(model.kind(), 1, Integer::sum);
                         }
                         holder = leastLoaded(model.id());
@@ -219,7 +230,7 @@
                                 .thenComparingLong(engine -> engine.promptsReadAt));
     }
 
-    private void endOrders(long now) {
+    private void completeOrders(long now) {
         for (ReplayEngine engine : engines) {
             if (engine.orderEnds > now) {
                 continue;
@@ -227,7 +238,7 @@
             engine.loading.ifPresent(
                     model -> {
                         engine.held.put(model, nanos(now));
-                        engine.keep(model);
+                        engine.cacheWeights(model);
                     });
             engine.loading = Optional.empty();
             engine.fromStore = false;
@@ -238,23 +249,23 @@
     }
 
     private void load(ReplayEngine engine, ModelId model, long now) {
-        Optional<Long> near = engine.nearLoad(model);
+        Optional<Long> localLoad = engine.localLoadMillis(model);
         loads++;
-        storeLoads += near.isEmpty() ? 1 : 0;
+        storeLoads += localLoad.isEmpty() ? 1 : 0;
         engine.loading = Optional.of(model);
-        engine.fromStore = near.isEmpty();
-        engine.orderEnds = now + near.orElse(FROM_STORE);
+        engine.fromStore = localLoad.isEmpty();
+        engine.orderEnds = now + localLoad.orElse(FROM_STORE);
     }
 
     private void decide(long now) {
-        Map<ModelId, Integer> waits = new HashMap<>();
+        Map<ModelId, Integer> waitingCounts = new HashMap<>();
         waiting.forEach(
                 (model, requests) -> {
                     if (!requests.isEmpty()) {
-                        waits.put(model.id(), requests.size());
+                        waitingCounts.put(model.id(), requests.size());
                     }
                 });
-        demand.reported(HOST, Map.copyOf(arrivals), waits, nanos(now));
+        demand.recordReport(HOST, Map.copyOf(arrivals), waitingCounts, nanos(now));
         arrivals.clear();
         for (Move move : policy.decide(view(now))) {
             ReplayEngine engine =
@@ -288,13 +299,13 @@
             engine.held.forEach(
                     (model, since) ->
                             held.add(new PlacementView.Held(new Artifact(model, ""), 100, since)));
-            Map<ModelId, Duration> near = new HashMap<>();
+            Map<ModelId, Duration> localLoad = new HashMap<>();
             engine.disk.forEach(
-                    model -> near.put(model, Duration.ofMillis(ReplayEngine.FROM_DISK)));
+                    model -> localLoad.put(model, Duration.ofMillis(ReplayEngine.FROM_DISK)));
             engine.memory.forEach(
-                    model -> near.put(model, Duration.ofMillis(ReplayEngine.FROM_MEMORY)));
+                    model -> localLoad.put(model, Duration.ofMillis(ReplayEngine.FROM_MEMORY)));
             boolean busy = engine.orderEnds > now || !engine.nextLoads.isEmpty();
-            long free = (PLACES - held.size() - (engine.loading.isPresent() ? 1 : 0)) * 100L;
+            long free = (MODEL_SLOTS - held.size() - (engine.loading.isPresent() ? 1 : 0)) * 100L;
             seats.add(
                     new PlacementView.Seat(
                             engine.id,
@@ -303,7 +314,7 @@
                             held,
                             busy,
                             engine.loading.map(model -> new Artifact(model, "")),
-                            near,
+                            localLoad,
                             Optional.of(engine.zone)));
         }
         List<PlacementView.Want> wants = new ArrayList<>();
@@ -318,7 +329,7 @@
         double asked = demand.ratePerSecond(model.id(), nanos(now));
         long nearest =
                 engines.stream()
-                        .flatMap(engine -> engine.nearLoad(model.id()).stream())
+                        .flatMap(engine -> engine.localLoadMillis(model.id()).stream())
                         .mapToLong(Long::longValue)
                         .min()
                         .orElse(FROM_STORE);
@@ -327,7 +338,7 @@
                 100,
                 Optional.empty(),
                 1,
-                way.rate(model, asked, nearest),
+                estimate.rate(model, asked, nearest),
                 demand.waiting(model.id(), nanos(now)),
                 demand.starvedSeconds(model.id(), resident, nanos(now)),
                 demand.lastUsed(model.id()),
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/ReachabilityTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ReachabilityTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When an engine counts as lost. */
+/** Tests of when an engine is considered lost. */
 class ReachabilityTest {
 
     private static final HostId FIRST = new HostId("h1");
@@ -16,40 +16,40 @@
     private final Reachability reachability = new Reachability(Duration.ofSeconds(1));
 
     @BeforeEach
-    void hear() {
-        reachability.heard(0);
+    void recordFirstHeartbeat() {
+        reachability.recordHeartbeat(0);
     }
 
     @Test
-    void silenceAloneIsLeftToTheListOfUpstreams() {
+    void silenceAloneDoesNotMakeAnEngineLost() {
         assertThat(lostAfter(60_000)).isFalse();
     }
 
     @Test
-    void refusedConnectionCountsOnceAHeartbeatIsMissing() {
-        reachability.unreachable(FIRST, true);
+    void refusedConnectionCountsOnceAHeartbeatIsMissed() {
+        reachability.recordConnectFailure(FIRST, true);
         assertThat(lostAfter(1200)).isFalse();
         assertThat(lostAfter(1300)).isTrue();
     }
 
     @Test
-    void oneHostWithoutAnAnswerMayBeCutOffItself() {
-        reachability.unreachable(FIRST, false);
-        reachability.unreachable(FIRST, false);
+    void timeoutsCountOnlyWhenTwoHostsSeeThem() {
+        reachability.recordConnectFailure(FIRST, false);
+        reachability.recordConnectFailure(FIRST, false);
         assertThat(lostAfter(10_000)).isFalse();
-        reachability.unreachable(SECOND, false);
+        reachability.recordConnectFailure(SECOND, false);
         assertThat(lostAfter(2200)).isFalse();
         assertThat(lostAfter(2300)).isTrue();
     }
 
     @Test
-    void heartbeatEndsIt() {
-        reachability.unreachable(FIRST, true);
-        reachability.heard(Duration.ofMillis(1500).toNanos());
+    void heartbeatClearsConnectFailures() {
+        reachability.recordConnectFailure(FIRST, true);
+        reachability.recordHeartbeat(Duration.ofMillis(1500).toNanos());
         assertThat(lostAfter(10_000)).isFalse();
     }
 
     private boolean lostAfter(long millis) {
-        return reachability.lost(Duration.ofMillis(millis).toNanos());
+        return reachability.isLost(Duration.ofMillis(millis).toNanos());
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/ReplayEngine.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/ReplayEngine.java
@@ -9,13 +9,13 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** An engine: what it serves, keeps at hand and is doing. */
+/** A simulated engine: the models it serves, its local weights, and its current load. */
 final class ReplayEngine {
 
     private static final int ZONES = 3;
     private static final int IN_MEMORY = 2;
     private static final int ON_DISK = 6;
-    private static final double MOST_PERMITS = 2;
+    private static final double MAX_PERMITS = 2;
     static final long FROM_MEMORY = 800;
     static final long FROM_DISK = 1_700;
     static final long STEP = 10;
@@ -43,9 +43,9 @@
         permits = 0;
     }
 
-    void earnPermits() {
+    void refillPermits() {
         if (limited()) {
-            permits = Math.min(MOST_PERMITS, permits + perSecond * STEP / 1000);
+            permits = Math.min(MAX_PERMITS, permits + perSecond * STEP / 1000);
         }
     }
 
@@ -53,19 +53,19 @@
         return perSecond < Double.POSITIVE_INFINITY;
     }
 
-    Optional<Long> nearLoad(ModelId model) {
+    Optional<Long> localLoadMillis(ModelId model) {
         if (memory.contains(model)) {
             return Optional.of(FROM_MEMORY);
         }
         return disk.contains(model) ? Optional.of(FROM_DISK) : Optional.empty();
     }
 
-    void keep(ModelId model) {
-        touch(memory, model, IN_MEMORY);
-        touch(disk, model, ON_DISK);
+    void cacheWeights(ModelId model) {
+        moveToFront(memory, model, IN_MEMORY);
+        moveToFront(disk, model, ON_DISK);
     }
 
-    private static void touch(Deque<ModelId> kept, ModelId model, int most) {
+    private static void moveToFront(Deque<ModelId> kept, ModelId model, int most) {
         kept.remove(model);
         kept.addFirst(model);
         while (kept.size() > most) {
