--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/ApartDispatcher.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/ApartDispatcher.java
@@ -2,7 +2,7 @@
 
 import io.stackhall.core.id.UpstreamId;
 import io.stackhall.core.quarantine.RequestDigest;
-import io.stackhall.core.quarantine.Trials;
+import io.stackhall.core.quarantine.SuspectIsolation;
 import java.util.Optional;
 import java.util.function.Predicate;
 
@@ -13,10 +13,10 @@
 public final class ApartDispatcher {
 
     private final Dispatcher dispatcher;
-    private final Trials trials;
+    private final SuspectIsolation trials;
 
     /** Creates a dispatcher of suspects beside that of all other requests. */
-    public ApartDispatcher(Dispatcher dispatcher, Trials trials) {
+    public ApartDispatcher(Dispatcher dispatcher, SuspectIsolation trials) {
         this.dispatcher = dispatcher;
         this.trials = trials;
     }
@@ -33,12 +33,12 @@
             Predicate<UpstreamId> allowed,
             boolean late,
             long now) {
-        if (trials.runs(request)) {
+        if (trials.isRunning(request)) {
             return new Choice.Apart();
         }
-        Predicate<UpstreamId> free = allowed.and(id -> !trials.occupied(id));
+        Predicate<UpstreamId> free = allowed.and(id -> !trials.isOccupied(id));
         Choice choice = dispatcher.choose(need, free, late, Optional.of(request), now);
-        boolean held = !(choice instanceof Choice.Send) && trials.any();
+        boolean held = !(choice instanceof Choice.Send) && trials.isAnyRunning();
         return held ? new Choice.Apart() : choice;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/Candidates.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/Candidates.java
@@ -2,7 +2,7 @@
 
 import io.stackhall.core.fleet.Instance;
 import io.stackhall.core.quarantine.RequestDigest;
-import io.stackhall.core.quarantine.Trials;
+import io.stackhall.core.quarantine.SuspectIsolation;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -22,7 +22,8 @@
      */
     void add(Instance instance, double score, Optional<RequestDigest> apart) {
         double order =
-                apart.map(request -> (double) Trials.order(request, instance.id())).orElse(score);
+                apart.map(request -> (double) SuspectIsolation.rank(request, instance.id()))
+                        .orElse(score);
         scored.add(new Scored(instance, order));
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/Acquittal.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/Acquittal.java
@@ -9,10 +9,10 @@
  * @param request the request
  * @param lives those that were held against it
  */
-public record Acquittal(RequestDigest request, Set<UpstreamId> lives) {
+public record Acquittal(RequestDigest request, Set<UpstreamId> incarnations) {
 
     /** Copies the set. */
     public Acquittal {
-        lives = Set.copyOf(lives);
+        incarnations = Set.copyOf(incarnations);
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/Crash.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/Crash.java
@@ -11,7 +11,7 @@
  * @param life the life that ended
  * @param requests what one host, or several together, had there
  */
-public record Crash(UpstreamId life, Set<RequestDigest> requests) {
+public record Crash(UpstreamId incarnation, Set<RequestDigest> requests) {
 
     /** Copies the set. */
     public Crash {
--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/CrashLedger.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/CrashLedger.java
@@ -34,22 +34,22 @@
 public final class CrashLedger {
 
     /** The first end leaves a doubt among many, the second mostly none; a third is no chance. */
-    private static final int CERTAIN = 3;
+    private static final int CONDEMNING_CRASHES = 3;
 
     /** A caller who repeats a request does so within the minute for which callers wait at most. */
-    private static final Duration SUSPICION = Duration.ofMinutes(2);
+    private static final Duration SUSPICION_DURATION = Duration.ofMinutes(2);
 
     /**
      * An instance that ends is away for some ten seconds: tried once in ten minutes, a request that
      * still ends it costs less than a fiftieth of one instance.
      */
-    private static final Duration SENTENCE = Duration.ofMinutes(10);
+    private static final Duration SENTENCE_DURATION = Duration.ofMinutes(10);
 
     /** Fifty instances that end at once with eighty requests each; some two megabytes. */
-    private static final int MOST_REQUESTS = 4000;
+    private static final int MAX_REQUESTS = 4000;
 
-    private final Map<RequestDigest, Evidence> requests = new LinkedHashMap<>();
-    private final Map<UpstreamId, Set<RequestDigest>> byLife = new HashMap<>();
+    private final Map<RequestDigest, Evidence> evidenceByRequest = new LinkedHashMap<>();
+    private final Map<UpstreamId, Set<RequestDigest>> byIncarnation = new HashMap<>();
 
     /**
      * Notes that a life has ended by itself.
@@ -57,16 +57,18 @@
      * @param now the monotonic clock, in nanoseconds
      * @return whether anything of it is new
      */
-    public boolean crashed(Crash crash, long now) {
+    public boolean recordCrash(Crash crash, long now) {
         boolean news = false;
         for (RequestDigest request : crash.requests()) {
             Evidence evidence = evidence(request);
-            if (evidence.crashed(crash.life(), now)) {
-                byLife.computeIfAbsent(crash.life(), life -> new HashSet<>()).add(request);
+            if (evidence.addCrash(crash.incarnation(), now)) {
+                byIncarnation
+                        .computeIfAbsent(crash.incarnation(), life -> new HashSet<>())
+                        .add(request);
                 news = true;
             }
         }
-        bound();
+        evictOldest();
         return news;
     }
 
@@ -75,13 +77,13 @@
      *
      * @return what this takes back, if anything was held against it
      */
-    public Optional<Acquittal> endedWell(RequestDigest request) {
-        Evidence evidence = requests.get(request);
-        if (evidence == null || evidence.lives().isEmpty()) {
+    public Optional<Acquittal> recordHarmlessEnd(RequestDigest request) {
+        Evidence evidence = evidenceByRequest.get(request);
+        if (evidence == null || evidence.incarnations().isEmpty()) {
             return Optional.empty();
         }
-        Acquittal acquittal = new Acquittal(request, evidence.lives());
-        acquitted(acquittal);
+        Acquittal acquittal = new Acquittal(request, evidence.incarnations());
+        applyAcquittal(acquittal);
         return Optional.of(acquittal);
     }
 
@@ -90,10 +92,10 @@
      *
      * @return whether it is new
      */
-    public boolean acquitted(Acquittal acquittal) {
-        acquittal.lives().forEach(life -> forget(life, acquittal.request()));
-        boolean news = evidence(acquittal.request()).acquit(acquittal.lives());
-        bound();
+    public boolean applyAcquittal(Acquittal acquittal) {
+        acquittal.incarnations().forEach(life -> removeFromIncarnation(life, acquittal.request()));
+        boolean news = evidence(acquittal.request()).acquit(acquittal.incarnations());
+        evictOldest();
         return news;
     }
 
@@ -103,21 +105,21 @@
      *
      * @return the requests that are refused from now on
      */
-    public List<RequestDigest> sentenced(Collection<RequestDigest> all, long now) {
+    public List<RequestDigest> applySentences(Collection<RequestDigest> all, long now) {
         List<RequestDigest> news = new ArrayList<>();
         for (RequestDigest request : all) {
             if (evidence(request).sentence(now)) {
                 news.add(request);
             }
         }
-        bound();
+        evictOldest();
         return news;
     }
 
     /** Takes over what all hosts have agreed to refuse no more. */
-    public void lifted(Collection<RequestDigest> all) {
+    public void liftSentences(Collection<RequestDigest> all) {
         for (RequestDigest request : all) {
-            Evidence evidence = requests.get(request);
+            Evidence evidence = evidenceByRequest.get(request);
             if (evidence != null) {
                 evidence.lift();
             }
@@ -126,95 +128,104 @@
 
     /** Returns how a request stands. */
     public Standing standing(RequestDigest request, long now) {
-        Evidence evidence = requests.get(request);
+        Evidence evidence = evidenceByRequest.get(request);
         if (evidence == null) {
             return new Standing.Clear();
         }
-        Duration age = Duration.ofNanos(now - evidence.since());
-        boolean certain = isCertain(request, evidence);
-        if (certain && age.compareTo(SENTENCE) < 0) {
-            return new Standing.Condemned(SENTENCE.minus(age));
+        Duration age = Duration.ofNanos(now - evidence.changedAt());
+        boolean certain = isConvicted(request, evidence);
+        if (certain && age.compareTo(SENTENCE_DURATION) < 0) {
+            return new Standing.Condemned(SENTENCE_DURATION.minus(age));
         }
-        Duration counts = certain ? SENTENCE.multipliedBy(2) : SUSPICION;
-        boolean held = certain || !evidence.lives().isEmpty();
+        Duration counts = certain ? SENTENCE_DURATION.multipliedBy(2) : SUSPICION_DURATION;
+        boolean held = certain || !evidence.incarnations().isEmpty();
         return held && age.compareTo(counts) < 0
-                ? new Standing.Suspect(evidence.lives().size())
+                ? new Standing.Suspect(evidence.incarnations().size())
                 : new Standing.Clear();
     }
 
     /** Returns the requests that are refused now. */
     public List<RequestDigest> condemned(long now) {
-        return requests.keySet().stream()
+        return evidenceByRequest.keySet().stream()
                 .filter(request -> standing(request, now) instanceof Standing.Condemned)
                 .toList();
     }
 
     /** Returns the lives that are held against a request. */
-    public Set<UpstreamId> lives(RequestDigest request) {
-        Evidence evidence = requests.get(request);
-        return evidence == null ? Set.of() : Set.copyOf(evidence.lives());
+    public Set<UpstreamId> incarnations(RequestDigest request) {
+        Evidence evidence = evidenceByRequest.get(request);
+        return evidence == null ? Set.of() : Set.copyOf(evidence.incarnations());
     }
 
     /** Returns the ends of lives that are held against requests, for a host that knows none. */
     public List<Crash> crashes() {
         List<Crash> all = new ArrayList<>();
-        byLife.forEach((life, those) -> all.add(new Crash(life, those)));
+        byIncarnation.forEach((life, those) -> all.add(new Crash(life, those)));
         return all;
     }
 
     /** Forgets what no longer counts. */
     public void sweep(long now) {
-        for (Iterator<Map.Entry<RequestDigest, Evidence>> all = requests.entrySet().iterator();
+        for (Iterator<Map.Entry<RequestDigest, Evidence>> all =
+                        evidenceByRequest.entrySet().iterator();
                 all.hasNext(); ) {
             Map.Entry<RequestDigest, Evidence> entry = all.next();
-            Duration age = Duration.ofNanos(now - entry.getValue().since());
-            if (age.compareTo(SENTENCE.multipliedBy(2)) > 0
+            Duration age = Duration.ofNanos(now - entry.getValue().changedAt());
+            if (age.compareTo(SENTENCE_DURATION.multipliedBy(2)) > 0
                     && standing(entry.getKey(), now) instanceof Standing.Clear) {
                 all.remove();
-                entry.getValue().lives().forEach(life -> forget(life, entry.getKey()));
+                entry.getValue()
+                        .incarnations()
+                        .forEach(life -> removeFromIncarnation(life, entry.getKey()));
             }
         }
     }
 
     /** Returns how many requests something is or was held against. */
     public int size() {
-        return requests.size();
+        return evidenceByRequest.size();
     }
 
-    private boolean isCertain(RequestDigest request, Evidence evidence) {
-        if (evidence.sentenced() || evidence.lives().size() >= CERTAIN) {
+    private boolean isConvicted(RequestDigest request, Evidence evidence) {
+        if (evidence.sentenced() || evidence.incarnations().size() >= CONDEMNING_CRASHES) {
             return true;
         }
-        return evidence.lives().size() > 1
-                && evidence.lives().stream().anyMatch(life -> isAloneInDoubt(request, life));
+        return evidence.incarnations().size() > 1
+                && evidence.incarnations().stream()
+                        .anyMatch(life -> isOnlyRepeatedCandidate(request, life));
     }
 
     /** Returns whether nobody else who was at the end of a life was at another one too. */
-    private boolean isAloneInDoubt(RequestDigest request, UpstreamId life) {
-        return byLife.getOrDefault(life, Set.of()).stream()
+    private boolean isOnlyRepeatedCandidate(RequestDigest request, UpstreamId life) {
+        return byIncarnation.getOrDefault(life, Set.of()).stream()
                 .noneMatch(
-                        other -> !other.equals(request) && requests.get(other).lives().size() > 1);
+                        other ->
+                                !other.equals(request)
+                                        && evidenceByRequest.get(other).incarnations().size() > 1);
     }
 
     private Evidence evidence(RequestDigest request) {
-        return requests.computeIfAbsent(request, key -> new Evidence());
+        return evidenceByRequest.computeIfAbsent(request, key -> new Evidence());
     }
 
-    private void forget(UpstreamId life, RequestDigest request) {
-        Set<RequestDigest> those = byLife.get(life);
+    private void removeFromIncarnation(UpstreamId life, RequestDigest request) {
+        Set<RequestDigest> those = byIncarnation.get(life);
         if (those != null && those.remove(request) && those.isEmpty()) {
-            byLife.remove(life);
+            byIncarnation.remove(life);
         }
     }
 
     /** What was noted first gives way, but for requests that all hosts have agreed to refuse. */
-    private void bound() {
-        Iterator<Map.Entry<RequestDigest, Evidence>> eldest = requests.entrySet().iterator();
-        while (requests.size() > MOST_REQUESTS && eldest.hasNext()) {
+    private void evictOldest() {
+        Iterator<Map.Entry<RequestDigest, Evidence>> eldest =
+                evidenceByRequest.entrySet().iterator();
+        while (evidenceByRequest.size() > MAX_REQUESTS && eldest.hasNext()) {
             Map.Entry<RequestDigest, Evidence> entry = eldest.next();
             if (!entry.getValue().sentenced()) {
                 eldest.remove();
-                entry.getValue().lives().forEach(life -> forget(life, entry.getKey()));
+                entry.getValue()
+                        .incarnations()
+                        .forEach(life -> removeFromIncarnation(life, entry.getKey()));
             }
         }
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/Evidence.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/Evidence.java
@@ -7,24 +7,24 @@
 /** What is held against one request. */
 final class Evidence {
 
-    private final Set<UpstreamId> lives = new HashSet<>();
-    private final Set<UpstreamId> acquittedOf = new HashSet<>();
+    private final Set<UpstreamId> incarnations = new HashSet<>();
+    private final Set<UpstreamId> acquittedIncarnations = new HashSet<>();
     private boolean sentenced;
-    private long since;
+    private long changedAt;
 
     /** Returns whether this life is newly held against it. */
-    boolean crashed(UpstreamId life, long now) {
-        if (acquittedOf.contains(life) || !lives.add(life)) {
+    boolean addCrash(UpstreamId life, long now) {
+        if (acquittedIncarnations.contains(life) || !incarnations.add(life)) {
             return false;
         }
-        since = now;
+        changedAt = now;
         return true;
     }
 
     /** Returns whether this has taken anything back. */
     boolean acquit(Set<UpstreamId> of) {
-        boolean changed = acquittedOf.addAll(of);
-        return lives.removeAll(of) || changed;
+        boolean changed = acquittedIncarnations.addAll(of);
+        return incarnations.removeAll(of) || changed;
     }
 
     /** Returns whether the sentence is new here. */
@@ -33,7 +33,7 @@
             return false;
         }
         sentenced = true;
-        since = now;
+        changedAt = now;
         return true;
     }
 
@@ -47,12 +47,12 @@
     }
 
     /** Returns the lives that ended under it. */
-    Set<UpstreamId> lives() {
-        return lives;
+    Set<UpstreamId> incarnations() {
+        return incarnations;
     }
 
     /** Returns when something was last added, on the monotonic clock in nanoseconds. */
-    long since() {
-        return since;
+    long changedAt() {
+        return changedAt;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/HostPauses.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/HostPauseDetector.java
@@ -10,34 +10,34 @@
  *
  * <p>Not thread-safe: one thread uses it.
  */
-public final class HostPauses {
+public final class HostPauseDetector {
 
     /** How often it is to be told that the host runs. */
-    public static final Duration TICK = Duration.ofMillis(100);
+    public static final Duration TICK_INTERVAL = Duration.ofMillis(100);
 
     /** Ten ticks missed in a row: no collection of garbage takes as long in so small a heap. */
-    private static final long PAUSE_NANOS = TICK.multipliedBy(10).toNanos();
+    private static final long MIN_PAUSE_NANOS = TICK_INTERVAL.multipliedBy(10).toNanos();
 
-    private long seenAt;
-    private long endedAt;
+    private long lastTickAt;
+    private long pauseEndedAt;
 
     /** Creates the notes of a host that runs now. */
-    public HostPauses(long now) {
-        seenAt = now;
-        endedAt = now;
+    public HostPauseDetector(long now) {
+        lastTickAt = now;
+        pauseEndedAt = now;
     }
 
     /** Notes that the host runs. */
     public void tick(long now) {
-        if (now - seenAt > PAUSE_NANOS) {
-            endedAt = now;
+        if (now - lastTickAt > MIN_PAUSE_NANOS) {
+            pauseEndedAt = now;
         }
-        seenAt = now;
+        lastTickAt = now;
     }
 
     /** Returns whether the host has stood still since a moment. */
-    public boolean since(long moment, long now) {
+    public boolean pausedSince(long moment, long now) {
         tick(now);
-        return endedAt - moment > 0;
+        return pauseEndedAt - moment > 0;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/RequestDigest.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/RequestDigest.java
@@ -20,18 +20,18 @@
 public record RequestDigest(String value) {
 
     private static final int BYTES = 16;
-    private static final Pattern FORM = Pattern.compile("[0-9a-f]{" + 2 * BYTES + "}");
+    private static final Pattern PATTERN = Pattern.compile("[0-9a-f]{" + 2 * BYTES + "}");
 
     /** Checks the text. */
     public RequestDigest {
-        if (!FORM.matcher(value).matches()) {
+        if (!PATTERN.matcher(value).matches()) {
             throw new IllegalArgumentException("'" + value + "' is no digest of a request");
         }
     }
 
     /** Returns the digest that a text names, if it is one. */
     public static Optional<RequestDigest> parse(String text) {
-        return FORM.matcher(text).matches()
+        return PATTERN.matcher(text).matches()
                 ? Optional.of(new RequestDigest(text))
                 : Optional.empty();
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/UnexplainedEnds.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/UnconfirmedCrashes.java
@@ -17,33 +17,37 @@
  *
  * <p>Not thread-safe: one thread uses it.
  */
-public final class UnexplainedEnds {
+public final class UnconfirmedCrashes {
 
     /** A life tells of itself within a few heartbeats. */
-    private static final Duration REMEMBERED = Duration.ofSeconds(5);
+    private static final Duration RETENTION = Duration.ofSeconds(5);
 
     /** As many break-offs as a cut through a busy host makes; the oldest give way. */
-    private static final int MOST_LIVES = 500;
+    private static final int MAX_INCARNATIONS = 500;
 
-    private final Map<UpstreamId, Left> lives = new LinkedHashMap<>();
+    private final Map<UpstreamId, Interrupted> interruptedByIncarnation = new LinkedHashMap<>();
 
-    private record Left(Set<RequestDigest> requests, long at) {}
+    private record Interrupted(Set<RequestDigest> requests, long at) {}
 
     /** Notes that a request has left an instance, which may have ended under it. */
-    public void left(UpstreamId life, RequestDigest request, long now) {
-        lives.computeIfAbsent(life, key -> new Left(new HashSet<>(), now)).requests().add(request);
-        if (lives.size() > MOST_LIVES) {
-            lives.remove(lives.keySet().iterator().next());
+    public void recordInterrupted(UpstreamId life, RequestDigest request, long now) {
+        interruptedByIncarnation
+                .computeIfAbsent(life, key -> new Interrupted(new HashSet<>(), now))
+                .requests()
+                .add(request);
+        if (interruptedByIncarnation.size() > MAX_INCARNATIONS) {
+            interruptedByIncarnation.remove(interruptedByIncarnation.keySet().iterator().next());
         }
     }
 
     /**
      * Returns the ends that a life that is heard of explains: those of earlier ones of its name.
      */
-    public List<Crash> heardOf(UpstreamId life, long now) {
+    public List<Crash> confirmedBy(UpstreamId life, long now) {
         List<Crash> explained = new ArrayList<>();
         sweep(now);
-        lives.entrySet()
+        interruptedByIncarnation
+                .entrySet()
                 .removeIf(
                         entry -> {
                             boolean earlier = life.startedAfter(entry.getKey());
@@ -57,14 +61,14 @@
     }
 
     /** Returns what left a life that is known to have ended, and forgets it. */
-    public Set<RequestDigest> takeThoseOf(UpstreamId life, long now) {
+    public Set<RequestDigest> takeRequests(UpstreamId life, long now) {
         sweep(now);
-        Left of = lives.remove(life);
+        Interrupted of = interruptedByIncarnation.remove(life);
         return of == null ? Set.of() : of.requests();
     }
 
     /** Forgets what no life can explain any more. */
     public void sweep(long now) {
-        lives.values().removeIf(left -> now - left.at() > REMEMBERED.toNanos());
+        interruptedByIncarnation.values().removeIf(left -> now - left.at() > RETENTION.toNanos());
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/ApartDispatcherTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/ApartDispatcherTest.java
@@ -6,7 +6,7 @@
 
 import io.stackhall.core.id.UpstreamId;
 import io.stackhall.core.quarantine.RequestDigest;
-import io.stackhall.core.quarantine.Trials;
+import io.stackhall.core.quarantine.SuspectIsolation;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.HashSet;
@@ -26,14 +26,14 @@
     private static final Need NEED =
             new Need(SERVICE, Optional.empty(), Optional.empty(), List.of(), 0, 0, 1);
 
-    private final Trials trials = new Trials();
+    private final SuspectIsolation trials = new SuspectIsolation();
     private final ApartDispatcher host = host(trials, 1);
 
     @Test
     void copiesOfOneSuspectMeetAtOneInstanceFromAnyHost() {
         Set<UpstreamId> instances = new HashSet<>();
         for (int seed = 1; seed <= 20; seed++) {
-            instances.add(sentTo(host(new Trials(), seed), suspect("one")));
+            instances.add(sentTo(host(new SuspectIsolation(), seed), suspect("one")));
         }
         assertThat(instances).hasSize(1);
     }
@@ -72,7 +72,7 @@
         assertThat(sentTo(host, suspect)).isEqualTo(instance);
     }
 
-    private static ApartDispatcher host(Trials trials, int seed) {
+    private static ApartDispatcher host(SuspectIsolation trials, int seed) {
         Dispatcher dispatcher = Dispatchers.of(new Random(seed));
         for (String name : List.of("a", "b", "c", "d")) {
             dispatcher.changed(instance(name, 1));
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/RestingDispatchTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/RestingDispatchTest.java
@@ -9,7 +9,7 @@
 import io.stackhall.core.id.ModelId;
 import io.stackhall.core.id.UpstreamId;
 import io.stackhall.core.quarantine.RequestDigest;
-import io.stackhall.core.quarantine.Trials;
+import io.stackhall.core.quarantine.SuspectIsolation;
 import io.stackhall.core.route.EngineSpec;
 import io.stackhall.core.route.ModelWeights;
 import java.time.Duration;
@@ -110,7 +110,7 @@
 
     @Test
     void suspectIsNotSentIntoARestEither() {
-        ApartDispatcher apart = new ApartDispatcher(dispatcher, new Trials());
+        ApartDispatcher apart = new ApartDispatcher(dispatcher, new SuspectIsolation());
         RequestDigest digest = RequestDigest.of("GET", "a.example", "/x", new byte[0]);
         assertThat(apart.choose(digest, NEED, id -> true, false, NOW))
                 .isInstanceOf(Choice.Resting.class);
--- a/stackhall-core/src/test/java/io/stackhall/core/quarantine/CrashLedgerProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/quarantine/CrashLedgerProperties.java
@@ -18,38 +18,39 @@
 class CrashLedgerProperties {
 
     private static final int REQUESTS = 5;
-    private static final int LIVES = 4;
+    private static final int INCARNATIONS = 4;
 
     /** One thing that a host tells. */
-    record Word(boolean crash, int life, int request) {
+    record Notice(boolean crash, int incarnation, int request) {
 
-        private void tell(CrashLedger ledger) {
-            Set<UpstreamId> lives = Set.of(new UpstreamId("i-" + life));
+        private void applyTo(CrashLedger ledger) {
+            Set<UpstreamId> lives = Set.of(new UpstreamId("i-" + incarnation));
             if (crash) {
-                ledger.crashed(new Crash(lives.iterator().next(), Set.of(digest(request))), 0);
+                ledger.recordCrash(new Crash(lives.iterator().next(), Set.of(digest(request))), 0);
             } else {
-                ledger.acquitted(new Acquittal(digest(request), lives));
+                ledger.applyAcquittal(new Acquittal(digest(request), lives));
             }
         }
     }
 
     @Property
-    void hostsThatHaveHeardTheSameAgree(@ForAll("words") List<Word> words, @ForAll long seed) {
-        List<Word> others = new ArrayList<>(words);
+    void hostsThatReceiveTheSameNoticesAgree(
+            @ForAll("words") List<Notice> words, @ForAll long seed) {
+        List<Notice> others = new ArrayList<>(words);
         others.addAll(words);
         Collections.shuffle(others, new Random(seed));
         assertThat(standings(others)).isEqualTo(standings(words));
     }
 
     @Property
-    void whoWasAtOneEndAtMostIsNeverCondemned(@ForAll("words") List<Word> words) {
+    void requestInAtMostOneCrashIsNeverCondemned(@ForAll("words") List<Notice> words) {
         CrashLedger ledger = ledger(words);
         for (int number = 0; number < REQUESTS; number++) {
             int request = number;
             long ends =
                     words.stream()
                             .filter(word -> word.crash() && word.request() == request)
-                            .map(Word::life)
+                            .map(Notice::incarnation)
                             .distinct()
                             .count();
             if (ends <= 1) {
@@ -60,30 +61,30 @@
     }
 
     @Property
-    void whoWasAtThreeEndsAndNeverEndedWellIsCondemned(@ForAll("words") List<Word> words) {
-        List<Word> all = new ArrayList<>(words);
+    void requestInThreeCrashesWithoutAcquittalIsCondemned(@ForAll("words") List<Notice> words) {
+        List<Notice> all = new ArrayList<>(words);
         for (int life = 0; life < 3; life++) {
-            all.add(new Word(true, life, REQUESTS));
+            all.add(new Notice(true, life, REQUESTS));
         }
         assertThat(ledger(all).standing(digest(REQUESTS), 0))
                 .isInstanceOf(Standing.Condemned.class);
     }
 
     @Provide
-    Arbitrary<List<Word>> words() {
-        Arbitrary<Word> word =
+    Arbitrary<List<Notice>> notices() {
+        Arbitrary<Notice> word =
                 Arbitraries.integers()
-                        .between(0, 4 * LIVES * REQUESTS - 1)
+                        .between(0, 4 * INCARNATIONS * REQUESTS - 1)
                         .map(
                                 drawn ->
-                                        new Word(
+                                        new Notice(
                                                 drawn % 4 > 0,
-                                                drawn / 4 % LIVES,
-                                                drawn / 4 / LIVES));
+                                                drawn / 4 % INCARNATIONS,
+                                                drawn / 4 / INCARNATIONS));
         return word.list().ofMaxSize(30);
     }
 
-    private static List<Standing> standings(List<Word> words) {
+    private static List<Standing> standings(List<Notice> words) {
         CrashLedger ledger = ledger(words);
         List<Standing> all = new ArrayList<>();
         for (int request = 0; request < REQUESTS; request++) {
@@ -92,9 +93,9 @@
         return all;
     }
 
-    private static CrashLedger ledger(List<Word> words) {
+    private static CrashLedger ledger(List<Notice> words) {
         CrashLedger ledger = new CrashLedger();
-        words.forEach(word -> word.tell(ledger));
+        words.forEach(word -> word.applyTo(ledger));
         return ledger;
     }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/quarantine/CrashLedgerTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/quarantine/CrashLedgerTest.java
@@ -17,95 +17,95 @@
  */
 class CrashLedgerTest {
 
-    private static final RequestDigest GUILTY = digest("guilty");
+    private static final RequestDigest CRASHING = digest("guilty");
     private static final RequestDigest NEIGHBOUR = digest("neighbour");
     private static final RequestDigest OTHER = digest("other");
 
     private final CrashLedger ledger = new CrashLedger();
 
     @Test
-    void firstEndMakesSuspectsOfAllThatWereThere() {
-        crashed("i-1", GUILTY, NEIGHBOUR);
-        assertThat(standing(GUILTY)).isEqualTo(new Standing.Suspect(1));
+    void firstCrashMakesAllItsRequestsSuspects() {
+        crashed("i-1", CRASHING, NEIGHBOUR);
+        assertThat(standing(CRASHING)).isEqualTo(new Standing.Suspect(1));
         assertThat(standing(NEIGHBOUR)).isEqualTo(new Standing.Suspect(1));
         assertThat(standing(OTHER)).isEqualTo(new Standing.Clear());
     }
 
     @Test
-    void whoAloneWasAtTwoEndsIsCondemned() {
-        crashed("i-1", GUILTY, NEIGHBOUR);
-        crashed("i-2", GUILTY, OTHER);
-        assertThat(standing(GUILTY)).isInstanceOf(Standing.Condemned.class);
+    void onlyRequestCommonToTwoCrashesIsCondemned() {
+        crashed("i-1", CRASHING, NEIGHBOUR);
+        crashed("i-2", CRASHING, OTHER);
+        assertThat(standing(CRASHING)).isInstanceOf(Standing.Condemned.class);
         assertThat(standing(NEIGHBOUR)).isEqualTo(new Standing.Suspect(1));
         assertThat(standing(OTHER)).isEqualTo(new Standing.Suspect(1));
     }
 
     @Test
-    void ofTwoThatWereAtTheSameTwoEndsTheThirdDecides() {
-        crashed("i-1", GUILTY, NEIGHBOUR);
-        crashed("i-2", GUILTY, NEIGHBOUR);
-        assertThat(standing(GUILTY)).isEqualTo(new Standing.Suspect(2));
-        crashed("i-3", GUILTY);
-        assertThat(standing(GUILTY)).isInstanceOf(Standing.Condemned.class);
+    void thirdCrashDecidesBetweenTwoRequestsInTheSameTwoCrashes() {
+        crashed("i-1", CRASHING, NEIGHBOUR);
+        crashed("i-2", CRASHING, NEIGHBOUR);
+        assertThat(standing(CRASHING)).isEqualTo(new Standing.Suspect(2));
+        crashed("i-3", CRASHING);
+        assertThat(standing(CRASHING)).isInstanceOf(Standing.Condemned.class);
         assertThat(standing(NEIGHBOUR)).isEqualTo(new Standing.Suspect(2));
     }
 
     @Test
-    void oneEndCountsOnceWhoeverTellsOfItAndHoweverOften() {
+    void repeatedNoticesOfOneCrashCountOnce() {
         for (int told = 0; told < 5; told++) {
-            crashed("i-1", GUILTY);
+            crashed("i-1", CRASHING);
         }
-        assertThat(standing(GUILTY)).isEqualTo(new Standing.Suspect(1));
+        assertThat(standing(CRASHING)).isEqualTo(new Standing.Suspect(1));
     }
 
     @Test
-    void livesOfOneNameCountEach() {
-        ledger.crashed(new Crash(new UpstreamId("i-1", 1000), Set.of(GUILTY)), 0);
-        ledger.crashed(new Crash(new UpstreamId("i-1", 2000), Set.of(GUILTY)), 0);
-        assertThat(standing(GUILTY)).isInstanceOf(Standing.Condemned.class);
+    void incarnationsOfOneInstanceCountSeparately() {
+        ledger.recordCrash(new Crash(new UpstreamId("i-1", 1000), Set.of(CRASHING)), 0);
+        ledger.recordCrash(new Crash(new UpstreamId("i-1", 2000), Set.of(CRASHING)), 0);
+        assertThat(standing(CRASHING)).isInstanceOf(Standing.Condemned.class);
     }
 
     @Test
-    void goodEndTakesBackWhatWasHeldBefore() {
-        crashed("i-1", NEIGHBOUR, GUILTY);
-        crashed("i-2", NEIGHBOUR, GUILTY);
-        Acquittal acquittal = ledger.endedWell(NEIGHBOUR).orElseThrow();
+    void harmlessEndAcquitsOfEarlierCrashes() {
+        crashed("i-1", NEIGHBOUR, CRASHING);
+        crashed("i-2", NEIGHBOUR, CRASHING);
+        Acquittal acquittal = ledger.recordHarmlessEnd(NEIGHBOUR).orElseThrow();
         assertThat(standing(NEIGHBOUR)).isEqualTo(new Standing.Clear());
-        assertThat(standing(GUILTY)).isInstanceOf(Standing.Condemned.class);
+        assertThat(standing(CRASHING)).isInstanceOf(Standing.Condemned.class);
         crashed("i-2", NEIGHBOUR);
         assertThat(standing(NEIGHBOUR)).isEqualTo(new Standing.Clear());
-        assertThat(acquittal.lives()).hasSize(2);
+        assertThat(acquittal.incarnations()).hasSize(2);
     }
 
     @Test
-    void acquittalThatComesBeforeItsEndsCounts() {
-        ledger.acquitted(new Acquittal(NEIGHBOUR, Set.of(new UpstreamId("i-1"))));
+    void acquittalReceivedBeforeItsCrashesCounts() {
+        ledger.applyAcquittal(new Acquittal(NEIGHBOUR, Set.of(new UpstreamId("i-1"))));
         crashed("i-1", NEIGHBOUR);
         assertThat(standing(NEIGHBOUR)).isEqualTo(new Standing.Clear());
     }
 
     @Test
-    void sentenceOfAllHostsHoldsWhereNothingElseIsKnown() {
-        assertThat(ledger.sentenced(List.of(GUILTY), 0)).containsExactly(GUILTY);
-        assertThat(standing(GUILTY)).isInstanceOf(Standing.Condemned.class);
-        ledger.sentenced(List.of(), 0);
-        assertThat(standing(GUILTY)).isInstanceOf(Standing.Condemned.class);
-        ledger.lifted(List.of(GUILTY));
-        assertThat(standing(GUILTY)).isEqualTo(new Standing.Clear());
+    void agreedSentenceHoldsWithoutLocalEvidence() {
+        assertThat(ledger.applySentences(List.of(CRASHING), 0)).containsExactly(CRASHING);
+        assertThat(standing(CRASHING)).isInstanceOf(Standing.Condemned.class);
+        ledger.applySentences(List.of(), 0);
+        assertThat(standing(CRASHING)).isInstanceOf(Standing.Condemned.class);
+        ledger.liftSentences(List.of(CRASHING));
+        assertThat(standing(CRASHING)).isEqualTo(new Standing.Clear());
     }
 
     @Test
-    void sentenceEndsInOneTrialAndOneMoreEndRenewsIt() {
-        crashed("i-1", GUILTY);
-        crashed("i-2", GUILTY);
+    void expiredSentenceLeavesASuspectAndOneMoreCrashRenewsIt() {
+        crashed("i-1", CRASHING);
+        crashed("i-2", CRASHING);
         long later = Duration.ofMinutes(11).toNanos();
-        assertThat(ledger.standing(GUILTY, later)).isEqualTo(new Standing.Suspect(2));
-        ledger.crashed(new Crash(new UpstreamId("i-3"), Set.of(GUILTY)), later);
-        assertThat(ledger.standing(GUILTY, later)).isInstanceOf(Standing.Condemned.class);
+        assertThat(ledger.standing(CRASHING, later)).isEqualTo(new Standing.Suspect(2));
+        ledger.recordCrash(new Crash(new UpstreamId("i-3"), Set.of(CRASHING)), later);
+        assertThat(ledger.standing(CRASHING, later)).isInstanceOf(Standing.Condemned.class);
     }
 
     @Test
-    void suspicionIsOverAfterAWhile() {
+    void suspicionExpires() {
         crashed("i-1", NEIGHBOUR);
         long later = Duration.ofMinutes(3).toNanos();
         assertThat(ledger.standing(NEIGHBOUR, later)).isEqualTo(new Standing.Clear());
@@ -115,18 +115,18 @@
     }
 
     @Test
-    void floodOfEndsStaysWithinItsBoundAndKeepsSentences() {
-        ledger.sentenced(List.of(GUILTY), 0);
+    void floodOfCrashesStaysWithinTheBoundAndKeepsSentences() {
+        ledger.applySentences(List.of(CRASHING), 0);
         for (int count = 0; count < 10_000; count++) {
             crashed("i-" + count, digest("flood" + count));
         }
         assertThat(ledger.size()).isLessThanOrEqualTo(4000);
         assertThat(ledger.crashes()).hasSizeLessThanOrEqualTo(4000);
-        assertThat(standing(GUILTY)).isInstanceOf(Standing.Condemned.class);
+        assertThat(standing(CRASHING)).isInstanceOf(Standing.Condemned.class);
     }
 
     private void crashed(String instance, RequestDigest... requests) {
-        ledger.crashed(new Crash(new UpstreamId(instance), Set.of(requests)), 0);
+        ledger.recordCrash(new Crash(new UpstreamId(instance), Set.of(requests)), 0);
     }
 
     private Standing standing(RequestDigest request) {
--- a/stackhall-core/src/test/java/io/stackhall/core/quarantine/HostPausesTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/quarantine/HostPauseDetectorTest.java
@@ -6,25 +6,25 @@
 import org.junit.jupiter.api.Test;
 
 /** What a host that stood still makes of what it sees when it wakes. */
-class HostPausesTest {
+class HostPauseDetectorTest {
 
-    private final HostPauses pauses = new HostPauses(0);
+    private final HostPauseDetector pauses = new HostPauseDetector(0);
 
     @Test
-    void hostThatIsToldRegularlyHasNotStoodStill() {
+    void regularTicksShowNoPause() {
         for (int tick = 1; tick <= 50; tick++) {
             pauses.tick(millis(100L * tick));
         }
-        assertThat(pauses.since(millis(50), millis(5100))).isFalse();
+        assertThat(pauses.pausedSince(millis(50), millis(5100))).isFalse();
     }
 
     @Test
-    void whatWasSentBeforeAPauseIsOldAndWhatIsSentAfterItIsNot() {
+    void momentsBeforeAPauseArePausedSinceAndLaterOnesAreNot() {
         pauses.tick(millis(100));
-        assertThat(pauses.since(millis(90), millis(4000))).isTrue();
+        assertThat(pauses.pausedSince(millis(90), millis(4000))).isTrue();
         pauses.tick(millis(4100));
-        assertThat(pauses.since(millis(90), millis(4150))).isTrue();
-        assertThat(pauses.since(millis(4050), millis(4200))).isFalse();
+        assertThat(pauses.pausedSince(millis(90), millis(4150))).isTrue();
+        assertThat(pauses.pausedSince(millis(4050), millis(4200))).isFalse();
     }
 
     private static long millis(long millis) {
--- a/stackhall-core/src/test/java/io/stackhall/core/quarantine/RequestDigestTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/quarantine/RequestDigestTest.java
@@ -12,13 +12,13 @@
     private static final byte[] BODY = "body".getBytes(StandardCharsets.UTF_8);
 
     @Test
-    void sameContentHasTheSameDigestInWhicheverCaseItsHostIsWritten() {
+    void digestIgnoresTheCaseOfTheHostName() {
         assertThat(RequestDigest.of("POST", "A.Example", "/a", BODY))
                 .isEqualTo(RequestDigest.of("POST", "a.example", "/a", BODY));
     }
 
     @Test
-    void eachPartOfTheContentCounts() {
+    void digestCoversMethodAuthorityTargetAndBody() {
         RequestDigest digest = RequestDigest.of("POST", "a.example", "/a", BODY);
         assertThat(RequestDigest.of("PUT", "a.example", "/a", BODY)).isNotEqualTo(digest);
         assertThat(RequestDigest.of("POST", "b.example", "/a", BODY)).isNotEqualTo(digest);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void otherTextsAreNoDigests() {
+    void rejectsTextThatIsNoDigest() {
         assertThatThrownBy(() -> new RequestDigest("xyz"))
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessageContaining("xyz");
--- /dev/null
+++ b/stackhall-core/src/test/java/io/stackhall/core/quarantine/UnconfirmedCrashesTest.java
@@ -0,0 +1,54 @@
+package io.stackhall.core.quarantine;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.stackhall.core.id.UpstreamId;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** Instances that are back before anybody could see that they had ended. */
+class UnconfirmedCrashesTest {
+
+    private static final UpstreamId FIRST = new UpstreamId("i-1", 1000);
+    private static final UpstreamId SECOND = new UpstreamId("i-1", 1700);
+    private static final RequestDigest REQUEST =
+            RequestDigest.of("GET", "h", "/x", "b".getBytes(StandardCharsets.UTF_8));
+
+    private final UnconfirmedCrashes crashes = new UnconfirmedCrashes();
+
+    @Test
+    void laterIncarnationConfirmsTheCrashOfTheEarlierOne() {
+        crashes.recordInterrupted(FIRST, REQUEST, 0);
+        assertThat(crashes.confirmedBy(SECOND, seconds(1)))
+                .containsExactly(new Crash(FIRST, Set.of(REQUEST)));
+        assertThat(crashes.confirmedBy(SECOND, seconds(1))).isEmpty();
+    }
+
+    @Test
+    void sameIncarnationOtherInstancesAndLateAnnouncementsConfirmNothing() {
+        crashes.recordInterrupted(FIRST, REQUEST, 0);
+        assertThat(crashes.confirmedBy(FIRST, seconds(1))).isEmpty();
+        assertThat(crashes.confirmedBy(new UpstreamId("i-2", 1700), seconds(1))).isEmpty();
+        assertThat(crashes.confirmedBy(SECOND, seconds(6))).isEmpty();
+    }
+
+    @Test
+    void requestsOfACrashFoundOtherwiseAreReturnedOnce() {
+        crashes.recordInterrupted(FIRST, REQUEST, 0);
+        assertThat(crashes.takeRequests(SECOND, seconds(1))).isEmpty();
+        assertThat(crashes.takeRequests(FIRST, seconds(1))).containsExactly(REQUEST);
+        assertThat(crashes.takeRequests(FIRST, seconds(1))).isEmpty();
+    }
+
+    @Test
+    void interruptedRequestsExpire() {
+        crashes.recordInterrupted(FIRST, REQUEST, 0);
+        assertThat(crashes.takeRequests(FIRST, seconds(6))).isEmpty();
+    }
+
+    private static long seconds(long seconds) {
+        return Duration.ofSeconds(seconds).toNanos();
+    }
+}
--- a/stackhall-server/src/main/java/io/stackhall/server/control/CrashKeeper.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/CrashKeeper.java
@@ -76,14 +76,17 @@
         CrashNotice.Builder news = CrashCodec.notice();
         for (CrashRecord record : notice.getCrashesList()) {
             Crash crash = CrashCodec.decode(record);
-            if (ledger.crashed(crash, now)) {
+            if (ledger.recordCrash(crash, now)) {
                 news.addCrashes(record);
-                logger.info("crash.heard instance={} requests={}", crash.life(), crash.requests());
+                logger.info(
+                        "crash.heard instance={} requests={}",
+                        crash.incarnation(),
+                        crash.requests());
             }
         }
         for (AcquittalRecord record : notice.getAcquittalsList()) {
             Acquittal acquittal = CrashCodec.decode(record);
-            if (ledger.acquitted(acquittal)) {
+            if (ledger.applyAcquittal(acquittal)) {
                 news.addAcquittals(record);
                 logger.info("crash.taken-back digest={}", acquittal.request());
             }
@@ -100,8 +103,8 @@
         }
         List<ByteString> lifted = without(sentenced, state.getSentencedList());
         sentenced = state.getSentencedList();
-        ledger.sentenced(CrashCodec.decode(sentenced), BootClock.nanos());
-        ledger.lifted(CrashCodec.decode(lifted));
+        ledger.applySentences(CrashCodec.decode(sentenced), BootClock.nanos());
+        ledger.liftSentences(CrashCodec.decode(lifted));
         toOthers.accept(sentences(state, lifted));
     }
 
@@ -163,7 +166,10 @@
         for (RequestDigest request : ledger.condemned(now)) {
             if (ledger.standing(request, now) instanceof Standing.Condemned(Duration left)) {
                 List<String> lives =
-                        ledger.lives(request).stream().map(UpstreamId::toString).sorted().toList();
+                        ledger.incarnations(request).stream()
+                                .map(UpstreamId::toString)
+                                .sorted()
+                                .toList();
                 all.add(new Refusal(request.value(), lives, left.toSeconds()));
             }
         }
@@ -179,7 +185,7 @@
      */
     void lift(RequestDigest request, String operator, Consumer<CommandOutcome> then) {
         logger.info("sentence.lift digest={} operator={}", request, operator);
-        ledger.endedWell(request)
+        ledger.recordHarmlessEnd(request)
                 .map(CrashCodec::encode)
                 .map(CrashCodec.notice()::addAcquittals)
                 .map(CrashCodec::frame)
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/CrashCodec.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/CrashCodec.java
@@ -34,7 +34,7 @@
     /** Encodes the end of a life. */
     public static CrashRecord encode(Crash crash) {
         return CrashRecord.newBuilder()
-                .setLife(crash.life().toString())
+                .setLife(crash.incarnation().toString())
                 .addAllRequests(encode(crash.requests()))
                 .build();
     }
@@ -50,7 +50,7 @@
     public static AcquittalRecord encode(Acquittal acquittal) {
         return AcquittalRecord.newBuilder()
                 .setRequest(encode(acquittal.request()))
-                .addAllLives(acquittal.lives().stream().map(UpstreamId::toString).toList())
+                .addAllLives(acquittal.incarnations().stream().map(UpstreamId::toString).toList())
                 .build();
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
@@ -21,7 +21,7 @@
 import io.stackhall.core.dispatch.RetryAllowance;
 import io.stackhall.core.id.HostId;
 import io.stackhall.core.limit.LimitedUpstreams;
-import io.stackhall.core.quarantine.HostPauses;
+import io.stackhall.core.quarantine.HostPauseDetector;
 import io.stackhall.platform.Calls;
 import io.stackhall.platform.Headers;
 import io.stackhall.rpc.generated.peer.Frame;
@@ -147,7 +147,8 @@
                                         loop,
                                         time.toMillis() / CONFIRMATIONS_IN_REVOCATION,
                                         follower::renewTrust));
-        RepeatedTask.every(loop, HostPauses.TICK.toMillis(), gateway.quarantine()::tick);
+        RepeatedTask.every(
+                loop, HostPauseDetector.TICK_INTERVAL.toMillis(), gateway.quarantine()::tick);
         logger.info(
                 "daemon.started host={} zone={} callers={}",
                 settings.host(),
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/Quarantine.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/Quarantine.java
@@ -11,11 +11,11 @@
 import io.stackhall.core.quarantine.Acquittal;
 import io.stackhall.core.quarantine.Crash;
 import io.stackhall.core.quarantine.CrashLedger;
-import io.stackhall.core.quarantine.HostPauses;
+import io.stackhall.core.quarantine.HostPauseDetector;
 import io.stackhall.core.quarantine.RequestDigest;
 import io.stackhall.core.quarantine.Standing;
-import io.stackhall.core.quarantine.Trials;
-import io.stackhall.core.quarantine.UnexplainedEnds;
+import io.stackhall.core.quarantine.SuspectIsolation;
+import io.stackhall.core.quarantine.UnconfirmedCrashes;
 import io.stackhall.rpc.generated.fleet.AcquittalRecord;
 import io.stackhall.rpc.generated.fleet.CrashNotice;
 import io.stackhall.rpc.generated.fleet.CrashRecord;
@@ -49,9 +49,9 @@
     private final FleetMetrics metrics;
     private final Consumer<Frame> toControlHosts;
     private final CrashLedger ledger = new CrashLedger();
-    private final UnexplainedEnds unexplained = new UnexplainedEnds();
-    private final Trials trials = new Trials();
-    private final HostPauses pauses = new HostPauses(BootClock.nanos());
+    private final UnconfirmedCrashes unexplained = new UnconfirmedCrashes();
+    private final SuspectIsolation trials = new SuspectIsolation();
+    private final HostPauseDetector pauses = new HostPauseDetector(BootClock.nanos());
     private final Map<RequestDigest, Set<RelayedRequest>> underWay = new HashMap<>();
 
     Quarantine(
@@ -111,7 +111,7 @@
 
     /** Notes that an instance has run a request to an end, and lives on. */
     void endedWell(RequestDigest request) {
-        ledger.endedWell(request).ifPresent(this::tell);
+        ledger.recordHarmlessEnd(request).ifPresent(this::tell);
     }
 
     /**
@@ -121,14 +121,14 @@
      * @param sentAt when the request was sent, on the process's clock in nanoseconds
      */
     void brokeOff(RequestDigest request, Instance instance, long sentAt, Runnable goOn) {
-        if (pauses.since(sentAt, BootClock.nanos()) || isExpected(instance)) {
+        if (pauses.pausedSince(sentAt, BootClock.nanos()) || isExpected(instance)) {
             goOn.run();
             return;
         }
         lives.ask(
                 instance,
                 ended -> {
-                    unexplained.left(instance.id(), request, BootClock.nanos());
+                    unexplained.recordInterrupted(instance.id(), request, BootClock.nanos());
                     if (ended) {
                         ended(instance.id());
                     } else {
@@ -144,13 +144,13 @@
      */
     void abandoned(RequestDigest request, Instance instance) {
         if (!isExpected(instance)) {
-            unexplained.left(instance.id(), request, BootClock.nanos());
+            unexplained.recordInterrupted(instance.id(), request, BootClock.nanos());
         }
     }
 
     /** Takes in that a life of an instance is heard of. */
     void heardOf(UpstreamId life) {
-        unexplained.heardOf(life, BootClock.nanos()).forEach(this::crashed);
+        unexplained.confirmedBy(life, BootClock.nanos()).forEach(this::crashed);
     }
 
     /** Takes in what a control host tells. */
@@ -158,17 +158,17 @@
         long now = BootClock.nanos();
         for (CrashRecord record : notice.getCrashesList()) {
             Crash crash = CrashCodec.decode(record);
-            ledger.crashed(crash, now);
-            ended(crash.life());
+            ledger.recordCrash(crash, now);
+            ended(crash.incarnation());
         }
         for (AcquittalRecord record : notice.getAcquittalsList()) {
-            ledger.acquitted(CrashCodec.decode(record));
+            ledger.applyAcquittal(CrashCodec.decode(record));
         }
         if (notice.hasSentenced()) {
             List<RequestDigest> all = CrashCodec.decode(notice.getSentenced().getAddedList());
-            ledger.sentenced(all, now)
+            ledger.applySentences(all, now)
                     .forEach(request -> logger.info("request.sentenced digest={}", request));
-            ledger.lifted(CrashCodec.decode(notice.getSentenced().getLiftedList()));
+            ledger.liftSentences(CrashCodec.decode(notice.getSentenced().getLiftedList()));
         }
         stopCondemned();
     }
@@ -208,7 +208,7 @@
 
     /** Holds the end of a life against what left it just before. */
     private void ended(UpstreamId life) {
-        Set<RequestDigest> those = unexplained.takeThoseOf(life, BootClock.nanos());
+        Set<RequestDigest> those = unexplained.takeRequests(life, BootClock.nanos());
         if (!those.isEmpty()) {
             crashed(new Crash(life, those));
         }
@@ -216,7 +216,7 @@
 
     private void crashed(Crash crash) {
         long now = BootClock.nanos();
-        if (!ledger.crashed(crash, now)) {
+        if (!ledger.recordCrash(crash, now)) {
             return;
         }
         for (RequestDigest request : crash.requests()) {
@@ -224,7 +224,7 @@
             logger.info(
                     "request.suspected digest={} instance={} standing={}",
                     request,
-                    crash.life(),
+                    crash.incarnation(),
                     standing);
         }
         toControlHosts.accept(
@@ -233,7 +233,10 @@
     }
 
     private void tell(Acquittal acquittal) {
-        logger.info("request.acquitted digest={} lives={}", acquittal.request(), acquittal.lives());
+        logger.info(
+                "request.acquitted digest={} lives={}",
+                acquittal.request(),
+                acquittal.incarnations());
         toControlHosts.accept(
                 CrashCodec.frame(CrashCodec.notice().addAcquittals(CrashCodec.encode(acquittal))));
     }
