--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/Acquittal.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/Acquittal.java
@@ -4,10 +4,10 @@
 import java.util.Set;
 
 /**
- * A request that has run to an end without harm, so that it did not end these lives.
+ * A request that has ended without a crash of its instance, which clears it of earlier crashes.
  *
  * @param request the request
- * @param lives those that were held against it
+ * @param incarnations the instance incarnations whose crashes were attributed to it
  */
 public record Acquittal(RequestDigest request, Set<UpstreamId> incarnations) {
 
--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/Crash.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/Crash.java
@@ -4,12 +4,12 @@
 import java.util.Set;
 
 /**
- * A life of an instance that has ended by itself, with requests that it had and had not answered.
+ * An unplanned end of one incarnation of an instance, with requests that were in progress there.
  *
- * <p>Several hosts tell of one life, each of its own requests.
+ * <p>Several hosts report the same crash, each with its own requests.
  *
- * @param life the life that ended
- * @param requests what one host, or several together, had there
+ * @param incarnation the incarnation that crashed
+ * @param requests the unanswered requests that one or several hosts had there
  */
 public record Crash(UpstreamId incarnation, Set<RequestDigest> requests) {
 
--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/CrashLedger.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/CrashLedger.java
@@ -14,68 +14,77 @@
 import java.util.Set;
 
 /**
- * Which requests end the instances that run them, from what all hosts have seen.
+ * Determines which requests crash the instances that run them, from the reports of all hosts.
  *
- * <p>Load pattern: a request ends each instance that begins to run it, together with everything
- * else that runs there, and its caller sends it again under new names to any host. Without memory
- * across tries and hosts, 30 lives of four instances ended within 8 s (a process test with three
- * entry hosts).
+ * <p>Load pattern: a request crashes each instance that begins to run it, together with everything
+ * else that runs there, and its caller sends it again under a new id to any host. Without a memory
+ * across attempts and hosts, 30 incarnations of four instances crashed within 8 s (a process test
+ * with three entry hosts).
  *
- * <p>A life that ends is held once against every request that was under way there. What a request
- * shares with one life that ended it shares with many innocent ones. The second such life tells
- * them apart: whoever alone among those that were there has been at another end too has ended both.
- * Where several have, the third end decides. A run that ends without harm takes back what was held
- * against a request before.
+ * <p>Each crash counts once against every request that was in progress on the instance. One crash
+ * does not distinguish the cause from the innocent requests beside it. The second one does: if
+ * exactly one of the requests of a crash was also in another crash, that request caused both. If
+ * several were, the third crash decides. A run that ends without a crash clears a request of the
+ * crashes before it.
  *
- * <p>Merging is commutative: hosts that have heard the same agree, in whatever order it came.
+ * <p>Merging is commutative: hosts that have received the same reports agree, in whatever order
+ * these arrived.
  *
  * <p>Not thread-safe: one thread uses it.
  */
 public final class CrashLedger {
 
-    /** The first end leaves a doubt among many, the second mostly none; a third is no chance. */
+    /**
+     * Crashes that condemn a request without comparison to others. One crash has many possible
+     * causes, and two mostly have one; three with the same request are no coincidence.
+     */
     private static final int CONDEMNING_CRASHES = 3;
 
-    /** A caller who repeats a request does so within the minute for which callers wait at most. */
+    /**
+     * A caller that repeats a request does so within a minute, since callers wait no longer than
+     * that.
+     */
     private static final Duration SUSPICION_DURATION = Duration.ofMinutes(2);
 
     /**
-     * An instance that ends is away for some ten seconds: tried once in ten minutes, a request that
-     * still ends it costs less than a fiftieth of one instance.
+     * A crashed instance is unavailable for about 10 s. A request that still crashes instances and
+     * is tried once in ten minutes costs less than a fiftieth of one instance.
      */
     private static final Duration SENTENCE_DURATION = Duration.ofMinutes(10);
 
-    /** Fifty instances that end at once with eighty requests each; some two megabytes. */
+    /**
+     * Fifty instances that crash at once with eighty requests each; the entries take about 2 MB.
+     */
     private static final int MAX_REQUESTS = 4000;
 
     private final Map<RequestDigest, Evidence> evidenceByRequest = new LinkedHashMap<>();
     private final Map<UpstreamId, Set<RequestDigest>> byIncarnation = new HashMap<>();
 
     /**
-     * Notes that a life has ended by itself.
+     * Records a crash.
      *
      * @param now the monotonic clock, in nanoseconds
-     * @return whether anything of it is new
+     * @return whether any part of the report is new
      */
     public boolean recordCrash(Crash crash, long now) {
-        boolean news = false;
+        boolean changed = false;
         for (RequestDigest request : crash.requests()) {
             Evidence evidence = evidence(request);
             if (evidence.addCrash(crash.incarnation(), now)) {
                 byIncarnation
-                        .computeIfAbsent(crash.incarnation(), life -> new HashSet<>())
+                        .computeIfAbsent(crash.incarnation(), incarnation -> new HashSet<>())
                         .add(request);
-                news = true;
+                changed = true;
             }
         }
         evictOldest();
-        return news;
+        return changed;
     }
 
     /**
-     * Notes that a request has run to an end without harm.
+     * Records that a request has ended without a crash.
      *
-     * @return what this takes back, if anything was held against it
+     * @return the acquittal to send to other hosts, if crashes were attributed to the request
      */
     public Optional<Acquittal> recordHarmlessEnd(RequestDigest request) {
         Evidence evidence = evidenceByRequest.get(request);
@@ -88,35 +97,38 @@
     }
 
     /**
-     * Takes in what another host has taken back.
+     * Applies an acquittal, from this host or another one.
      *
-     * @return whether it is new
+     * @return whether it changes anything here
      */
     public boolean applyAcquittal(Acquittal acquittal) {
-        acquittal.incarnations().forEach(life -> removeFromIncarnation(life, acquittal.request()));
-        boolean news = evidence(acquittal.request()).acquit(acquittal.incarnations());
+        acquittal
+                .incarnations()
+                .forEach(incarnation -> removeFromIncarnation(incarnation, acquittal.request()));
+        boolean changed = evidence(acquittal.request()).acquit(acquittal.incarnations());
         evictOldest();
-        return news;
+        return changed;
     }
 
     /**
-     * Takes over what all hosts have agreed to refuse. What a host that lags behind does not name
-     * is not taken back by that.
+     * Adds the requests that all hosts have agreed to refuse. A request that is missing from the
+     * collection stays refused, since the host that sent it may lag behind.
      *
-     * @return the requests that are refused from now on
+     * @param now the monotonic clock, in nanoseconds
+     * @return the requests that are newly refused
      */
     public List<RequestDigest> applySentences(Collection<RequestDigest> all, long now) {
-        List<RequestDigest> news = new ArrayList<>();
+        List<RequestDigest> added = new ArrayList<>();
         for (RequestDigest request : all) {
             if (evidence(request).sentence(now)) {
-                news.add(request);
+                added.add(request);
             }
         }
         evictOldest();
-        return news;
+        return added;
     }
 
-    /** Takes over what all hosts have agreed to refuse no more. */
+    /** Revokes sentences that all hosts have agreed to lift. */
     public void liftSentences(Collection<RequestDigest> all) {
         for (RequestDigest request : all) {
             Evidence evidence = evidenceByRequest.get(request);
@@ -126,45 +138,49 @@
         }
     }
 
-    /** Returns how a request stands. */
+    /**
+     * Returns the standing of a request.
+     *
+     * @param now the monotonic clock, in nanoseconds
+     */
     public Standing standing(RequestDigest request, long now) {
         Evidence evidence = evidenceByRequest.get(request);
         if (evidence == null) {
             return new Standing.Clear();
         }
         Duration age = Duration.ofNanos(now - evidence.changedAt());
-        boolean certain = isConvicted(request, evidence);
-        if (certain && age.compareTo(SENTENCE_DURATION) < 0) {
+        boolean convicted = isConvicted(request, evidence);
+        if (convicted && age.compareTo(SENTENCE_DURATION) < 0) {
             return new Standing.Condemned(SENTENCE_DURATION.minus(age));
         }
-        Duration counts = certain ? SENTENCE_DURATION.multipliedBy(2) : SUSPICION_DURATION;
-        boolean held = certain || !evidence.incarnations().isEmpty();
-        return held && age.compareTo(counts) < 0
+        Duration lasting = convicted ? SENTENCE_DURATION.multipliedBy(2) : SUSPICION_DURATION;
+        boolean attributed = convicted || !evidence.incarnations().isEmpty();
+        return attributed && age.compareTo(lasting) < 0
                 ? new Standing.Suspect(evidence.incarnations().size())
                 : new Standing.Clear();
     }
 
-    /** Returns the requests that are refused now. */
+    /** Returns the requests that are refused at a moment. */
     public List<RequestDigest> condemned(long now) {
         return evidenceByRequest.keySet().stream()
                 .filter(request -> standing(request, now) instanceof Standing.Condemned)
                 .toList();
     }
 
-    /** Returns the lives that are held against a request. */
+    /** Returns the incarnations whose crashes are attributed to a request. */
     public Set<UpstreamId> incarnations(RequestDigest request) {
         Evidence evidence = evidenceByRequest.get(request);
         return evidence == null ? Set.of() : Set.copyOf(evidence.incarnations());
     }
 
-    /** Returns the ends of lives that are held against requests, for a host that knows none. */
+    /** Returns the crashes that are attributed to requests, to bring another host up to date. */
     public List<Crash> crashes() {
         List<Crash> all = new ArrayList<>();
-        byIncarnation.forEach((life, those) -> all.add(new Crash(life, those)));
+        byIncarnation.forEach((incarnation, requests) -> all.add(new Crash(incarnation, requests)));
         return all;
     }
 
-    /** Forgets what no longer counts. */
+    /** Removes entries that no longer affect the standing of a request. */
     public void sweep(long now) {
         for (Iterator<Map.Entry<RequestDigest, Evidence>> all =
                         evidenceByRequest.entrySet().iterator();
@@ -176,12 +192,12 @@
                 all.remove();
                 entry.getValue()
                         .incarnations()
-                        .forEach(life -> removeFromIncarnation(life, entry.getKey()));
+                        .forEach(incarnation -> removeFromIncarnation(incarnation, entry.getKey()));
             }
         }
     }
 
-    /** Returns how many requests something is or was held against. */
+    /** Returns the number of requests with an entry, acquitted ones included. */
     public int size() {
         return evidenceByRequest.size();
     }
@@ -192,12 +208,12 @@
         }
         return evidence.incarnations().size() > 1
                 && evidence.incarnations().stream()
-                        .anyMatch(life -> isOnlyRepeatedCandidate(request, life));
+                        .anyMatch(incarnation -> isOnlyRepeatedCandidate(request, incarnation));
     }
 
-    /** Returns whether nobody else who was at the end of a life was at another one too. */
-    private boolean isOnlyRepeatedCandidate(RequestDigest request, UpstreamId life) {
-        return byIncarnation.getOrDefault(life, Set.of()).stream()
+    /** Returns whether no other request of this crash was in a second crash. */
+    private boolean isOnlyRepeatedCandidate(RequestDigest request, UpstreamId incarnation) {
+        return byIncarnation.getOrDefault(incarnation, Set.of()).stream()
                 .noneMatch(
                         other ->
                                 !other.equals(request)
@@ -208,14 +224,17 @@
         return evidenceByRequest.computeIfAbsent(request, key -> new Evidence());
     }
 
-    private void removeFromIncarnation(UpstreamId life, RequestDigest request) {
-        Set<RequestDigest> those = byIncarnation.get(life);
-        if (those != null && those.remove(request) && those.isEmpty()) {
-            byIncarnation.remove(life);
+    private void removeFromIncarnation(UpstreamId incarnation, RequestDigest request) {
+        Set<RequestDigest> requests = byIncarnation.get(incarnation);
+        if (requests != null && requests.remove(request) && requests.isEmpty()) {
+            byIncarnation.remove(incarnation);
         }
     }
 
-    /** What was noted first gives way, but for requests that all hosts have agreed to refuse. */
+    /**
+     * Evicts the oldest entries beyond the bound, except for requests that all hosts have agreed to
+     * refuse.
+     */
     private void evictOldest() {
         Iterator<Map.Entry<RequestDigest, Evidence>> eldest =
                 evidenceByRequest.entrySet().iterator();
@@ -225,7 +244,7 @@
                 eldest.remove();
                 entry.getValue()
                         .incarnations()
-                        .forEach(life -> removeFromIncarnation(life, entry.getKey()));
+                        .forEach(incarnation -> removeFromIncarnation(incarnation, entry.getKey()));
             }
         }
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/Evidence.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/Evidence.java
@@ -4,7 +4,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What is held against one request. */
+/** The crashes that are attributed to one request, and its acquittals and sentence. */
 final class Evidence {
 
     private final Set<UpstreamId> incarnations = new HashSet<>();
@@ -12,22 +12,22 @@
     private boolean sentenced;
     private long changedAt;
 
-    /** Returns whether this life is newly held against it. */
-    boolean addCrash(UpstreamId life, long now) {
-        if (acquittedIncarnations.contains(life) || !incarnations.add(life)) {
+    /** Adds a crash and returns whether it is newly attributed to the request. */
+    boolean addCrash(UpstreamId incarnation, long now) {
+        if (acquittedIncarnations.contains(incarnation) || !incarnations.add(incarnation)) {
             return false;
         }
         changedAt = now;
         return true;
     }
 
-    /** Returns whether this has taken anything back. */
-    boolean acquit(Set<UpstreamId> of) {
-        boolean changed = acquittedIncarnations.addAll(of);
-        return incarnations.removeAll(of) || changed;
+    /** Clears the request of crashes and returns whether that changes anything. */
+    boolean acquit(Set<UpstreamId> cleared) {
+        boolean changed = acquittedIncarnations.addAll(cleared);
+        return incarnations.removeAll(cleared) || changed;
     }
 
-    /** Returns whether the sentence is new here. */
+    /** Condemns the request and returns whether it was not condemned yet. */
     boolean sentence(long now) {
         if (sentenced) {
             return false;
@@ -37,7 +37,7 @@
         return true;
     }
 
-    /** Takes the sentence of all hosts back. */
+    /** Revokes the sentence that all hosts had agreed on. */
     void lift() {
         sentenced = false;
     }
@@ -46,12 +46,12 @@
         return sentenced;
     }
 
-    /** Returns the lives that ended under it. */
+    /** Returns the incarnations whose crashes are attributed to the request. */
     Set<UpstreamId> incarnations() {
         return incarnations;
     }
 
-    /** Returns when something was last added, on the monotonic clock in nanoseconds. */
+    /** Returns when a crash or a sentence was last added, on the monotonic clock in nanoseconds. */
     long changedAt() {
         return changedAt;
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/HostPauseDetector.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/HostPauseDetector.java
@@ -3,31 +3,34 @@
 import java.time.Duration;
 
 /**
- * Notes that this host stood still for a while, frozen or suspended: what it then sees of instances
- * is old, and one that ended meanwhile may have ended as planned.
+ * Detects that this process did not run for a while, frozen or suspended. What it observes of
+ * instances right afterwards is out of date: an instance that has gone may have shut down as
+ * planned.
  *
- * <p>Moments are those of a clock that goes on while the machine is suspended, in nanoseconds.
+ * <p>Moments are in nanoseconds, of a clock that keeps running while the machine is suspended.
  *
  * <p>Not thread-safe: one thread uses it.
  */
 public final class HostPauseDetector {
 
-    /** How often it is to be told that the host runs. */
+    /** How often {@link #tick} is to be called. */
     public static final Duration TICK_INTERVAL = Duration.ofMillis(100);
 
-    /** Ten ticks missed in a row: no collection of garbage takes as long in so small a heap. */
+    /**
+     * Ten ticks missed in a row: garbage collection does not take that long in a heap of this size.
+     */
     private static final long MIN_PAUSE_NANOS = TICK_INTERVAL.multipliedBy(10).toNanos();
 
     private long lastTickAt;
     private long pauseEndedAt;
 
-    /** Creates the notes of a host that runs now. */
+    /** Creates a detector for a process that runs now. */
     public HostPauseDetector(long now) {
         lastTickAt = now;
         pauseEndedAt = now;
     }
 
-    /** Notes that the host runs. */
+    /** Records that the process runs. */
     public void tick(long now) {
         if (now - lastTickAt > MIN_PAUSE_NANOS) {
             pauseEndedAt = now;
@@ -35,7 +38,7 @@
         lastTickAt = now;
     }
 
-    /** Returns whether the host has stood still since a moment. */
+    /** Returns whether the process has been paused since a moment. */
     public boolean pausedSince(long moment, long now) {
         tick(now);
         return pauseEndedAt - moment > 0;
--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/RequestDigest.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/RequestDigest.java
@@ -9,11 +9,12 @@
 import java.util.regex.Pattern;
 
 /**
- * Knows a request again that comes another time, at any host, under another id.
+ * Identifies a request by its content, so that a repetition is recognized at any host and under any
+ * id.
  *
- * <p>It covers what is asked for and nothing of how it came: no other header, no connection, no
- * framing. Two requests of different content have the same digest with a chance of 2^-64 among 2^32
- * requests.
+ * <p>It covers the method, the authority, the target and the body, but no other header, connection
+ * or framing. Two requests of different content have the same digest with a probability of 2^-64
+ * among 2^32 requests.
  *
  * @param value 32 hexadecimal digits
  */
@@ -22,14 +23,14 @@
     private static final int BYTES = 16;
     private static final Pattern PATTERN = Pattern.compile("[0-9a-f]{" + 2 * BYTES + "}");
 
-    /** Checks the text. */
+    /** Checks the format. */
     public RequestDigest {
         if (!PATTERN.matcher(value).matches()) {
-            throw new IllegalArgumentException("'" + value + "' is no digest of a request");
+            throw new IllegalArgumentException("'" + value + "' is not a request digest");
         }
     }
 
-    /** Returns the digest that a text names, if it is one. */
+    /** Parses a digest; empty if the text is not one. */
     public static Optional<RequestDigest> parse(String text) {
         return PATTERN.matcher(text).matches()
                 ? Optional.of(new RequestDigest(text))
@@ -39,10 +40,10 @@
     /**
      * Computes the digest of a request.
      *
-     * @param method its method
-     * @param authority whom it is addressed to, in whichever case
-     * @param target its path and query
-     * @param body its whole body, out of whichever framing
+     * @param method the HTTP method
+     * @param authority the host name that the request is addressed to; case is ignored
+     * @param target the path and query
+     * @param body the whole body, without transfer coding
      */
     public static RequestDigest of(String method, String authority, String target, byte[] body) {
         MessageDigest hash = sha256();
@@ -53,7 +54,9 @@
         return new RequestDigest(HexFormat.of().formatHex(hash.digest(), 0, BYTES));
     }
 
-    /** The zero byte, which none of these texts has, keeps one from running into the next. */
+    /**
+     * Appends a zero byte, which none of these texts contains, to separate one field from the next.
+     */
     private static void add(MessageDigest hash, String text) {
         hash.update(text.getBytes(StandardCharsets.UTF_8));
         hash.update((byte) 0);
--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/Standing.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/Standing.java
@@ -2,22 +2,22 @@
 
 import java.time.Duration;
 
-/** How a request stands that comes, perhaps not for the first time. */
+/** Whether a request is known to crash instances, and how it is handled because of that. */
 public sealed interface Standing {
 
-    /** Nothing is held against it. */
+    /** No crash is attributed to it. */
     record Clear() implements Standing {}
 
     /**
-     * It was under way at instances that ended, and may have been what ended them: it is run apart
+     * It was in progress at instances that crashed, and may have been the cause: it is run isolated
      * from other suspects.
      *
-     * @param crashes how many lives of instances have ended under it
+     * @param crashes how many crashes of instances are attributed to it
      */
     record Suspect(int crashes) implements Standing {}
 
     /**
-     * It ends the instances that run it: it is not run.
+     * It crashes the instances that run it: it is refused.
      *
      * @param left how much longer it is refused
      */
--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/UnconfirmedCrashes.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/UnconfirmedCrashes.java
@@ -10,29 +10,32 @@
 import java.util.Set;
 
 /**
- * Requests that left instances before an end of the instance could be seen: those that it broke off
- * while somebody still listened at its address, and those whose callers gave them up. Where a later
- * life under the same name tells of itself, or another request or host finds the end, it is known
- * after all.
+ * Requests that stopped at an instance which may have crashed, before a crash could be observed:
+ * those whose connection broke while something still accepted connections at the address, and those
+ * whose callers disconnected. The crash is confirmed when a later incarnation of the instance
+ * announces itself, or when another request or host observes it.
  *
  * <p>Not thread-safe: one thread uses it.
  */
 public final class UnconfirmedCrashes {
 
-    /** A life tells of itself within a few heartbeats. */
+    /** A new incarnation announces itself within a few heartbeats. */
     private static final Duration RETENTION = Duration.ofSeconds(5);
 
-    /** As many break-offs as a cut through a busy host makes; the oldest give way. */
+    /**
+     * As many broken connections as a network partition of a busy host causes; the oldest are
+     * evicted.
+     */
     private static final int MAX_INCARNATIONS = 500;
 
     private final Map<UpstreamId, Interrupted> interruptedByIncarnation = new LinkedHashMap<>();
 
     private record Interrupted(Set<RequestDigest> requests, long at) {}
 
-    /** Notes that a request has left an instance, which may have ended under it. */
-    public void recordInterrupted(UpstreamId life, RequestDigest request, long now) {
+    /** Records that a request has stopped at an instance which may have crashed. */
+    public void recordInterrupted(UpstreamId incarnation, RequestDigest request, long now) {
         interruptedByIncarnation
-                .computeIfAbsent(life, key -> new Interrupted(new HashSet<>(), now))
+                .computeIfAbsent(incarnation, key -> new Interrupted(new HashSet<>(), now))
                 .requests()
                 .add(request);
         if (interruptedByIncarnation.size() > MAX_INCARNATIONS) {
@@ -41,34 +44,39 @@
     }
 
     /**
-     * Returns the ends that a life that is heard of explains: those of earlier ones of its name.
+     * Removes and returns the crashes that an announced incarnation confirms: those of earlier
+     * incarnations of the same instance.
      */
-    public List<Crash> confirmedBy(UpstreamId life, long now) {
-        List<Crash> explained = new ArrayList<>();
+    public List<Crash> confirmedBy(UpstreamId incarnation, long now) {
+        List<Crash> confirmed = new ArrayList<>();
         sweep(now);
         interruptedByIncarnation
                 .entrySet()
                 .removeIf(
                         entry -> {
-                            boolean earlier = life.startedAfter(entry.getKey());
+                            boolean earlier = incarnation.startedAfter(entry.getKey());
                             if (earlier) {
-                                explained.add(
+                                confirmed.add(
                                         new Crash(entry.getKey(), entry.getValue().requests()));
                             }
                             return earlier;
                         });
-        return explained;
+        return confirmed;
     }
 
-    /** Returns what left a life that is known to have ended, and forgets it. */
-    public Set<RequestDigest> takeRequests(UpstreamId life, long now) {
+    /**
+     * Removes and returns the requests recorded for an incarnation that is known to have crashed.
+     */
+    public Set<RequestDigest> takeRequests(UpstreamId incarnation, long now) {
         sweep(now);
-        Interrupted of = interruptedByIncarnation.remove(life);
-        return of == null ? Set.of() : of.requests();
+        Interrupted interrupted = interruptedByIncarnation.remove(incarnation);
+        return interrupted == null ? Set.of() : interrupted.requests();
     }
 
-    /** Forgets what no life can explain any more. */
+    /** Removes entries that are too old to be confirmed. */
     public void sweep(long now) {
-        interruptedByIncarnation.values().removeIf(left -> now - left.at() > RETENTION.toNanos());
+        interruptedByIncarnation
+                .values()
+                .removeIf(interrupted -> now - interrupted.at() > RETENTION.toNanos());
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/package-info.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** Requests that crash the instances which run them: how they are known again, and kept apart. */
+/** Recognizes requests that crash the instances running them, and isolates or refuses them. */
 package io.stackhall.core.quarantine;
--- a/stackhall-core/src/test/java/io/stackhall/core/quarantine/CrashLedgerProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/quarantine/CrashLedgerProperties.java
@@ -14,46 +14,47 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Word of ends and acquittals in any order, late and twice. */
+/** Crashes and acquittals that are reported in any order, late and twice. */
 class CrashLedgerProperties {
 
     private static final int REQUESTS = 5;
     private static final int INCARNATIONS = 4;
 
-    /** One thing that a host tells. */
+    /** A report of another host. */
     record Notice(boolean crash, int incarnation, int request) {
 
         private void applyTo(CrashLedger ledger) {
-            Set<UpstreamId> lives = Set.of(new UpstreamId("i-" + incarnation));
+            Set<UpstreamId> incarnations = Set.of(new UpstreamId("i-" + incarnation));
             if (crash) {
-                ledger.recordCrash(new Crash(lives.iterator().next(), Set.of(digest(request))), 0);
+                ledger.recordCrash(
+                        new Crash(incarnations.iterator().next(), Set.of(digest(request))), 0);
             } else {
-                ledger.applyAcquittal(new Acquittal(digest(request), lives));
+                ledger.applyAcquittal(new Acquittal(digest(request), incarnations));
             }
         }
     }
 
     @Property
     void hostsThatReceiveTheSameNoticesAgree(
-            @ForAll("words") List<Notice> words, @ForAll long seed) {
-        List<Notice> others = new ArrayList<>(words);
-        others.addAll(words);
-        Collections.shuffle(others, new Random(seed));
-        assertThat(standings(others)).isEqualTo(standings(words));
+            @ForAll("notices") List<Notice> notices, @ForAll long seed) {
+        List<Notice> shuffled = new ArrayList<>(notices);
+        shuffled.addAll(notices);
+        Collections.shuffle(shuffled, new Random(seed));
+        assertThat(standings(shuffled)).isEqualTo(standings(notices));
     }
 
     @Property
-    void requestInAtMostOneCrashIsNeverCondemned(@ForAll("words") List<Notice> words) {
-        CrashLedger ledger = ledger(words);
+    void requestInAtMostOneCrashIsNeverCondemned(@ForAll("notices") List<Notice> notices) {
+        CrashLedger ledger = ledger(notices);
         for (int number = 0; number < REQUESTS; number++) {
             int request = number;
-            long ends =
-                    words.stream()
-                            .filter(word -> word.crash() && word.request() == request)
+            long crashes =
+                    notices.stream()
+                            .filter(notice -> notice.crash() && notice.request() == request)
                             .map(Notice::incarnation)
                             .distinct()
                             .count();
-            if (ends <= 1) {
+            if (crashes <= 1) {
                 assertThat(ledger.standing(digest(request), 0))
                         .isNotInstanceOf(Standing.Condemned.class);
             }
@@ -61,10 +62,10 @@
     }
 
     @Property
-    void requestInThreeCrashesWithoutAcquittalIsCondemned(@ForAll("words") List<Notice> words) {
-        List<Notice> all = new ArrayList<>(words);
-        for (int life = 0; life < 3; life++) {
-            all.add(new Notice(true, life, REQUESTS));
+    void requestInThreeCrashesWithoutAcquittalIsCondemned(@ForAll("notices") List<Notice> notices) {
+        List<Notice> all = new ArrayList<>(notices);
+        for (int incarnation = 0; incarnation < 3; incarnation++) {
+            all.add(new Notice(true, incarnation, REQUESTS));
         }
         assertThat(ledger(all).standing(digest(REQUESTS), 0))
                 .isInstanceOf(Standing.Condemned.class);
@@ -72,7 +73,7 @@
 
     @Provide
     Arbitrary<List<Notice>> notices() {
-        Arbitrary<Notice> word =
+        Arbitrary<Notice> notice =
                 Arbitraries.integers()
                         .between(0, 4 * INCARNATIONS * REQUESTS - 1)
                         .map(
@@ -81,11 +82,11 @@
                                                 drawn % 4 > 0,
                                                 drawn / 4 % INCARNATIONS,
                                                 drawn / 4 / INCARNATIONS));
-        return word.list().ofMaxSize(30);
+        return notice.list().ofMaxSize(30);
     }
 
-    private static List<Standing> standings(List<Notice> words) {
-        CrashLedger ledger = ledger(words);
+    private static List<Standing> standings(List<Notice> notices) {
+        CrashLedger ledger = ledger(notices);
         List<Standing> all = new ArrayList<>();
         for (int request = 0; request < REQUESTS; request++) {
             all.add(ledger.standing(digest(request), 0));
@@ -93,9 +94,9 @@
         return all;
     }
 
-    private static CrashLedger ledger(List<Notice> words) {
+    private static CrashLedger ledger(List<Notice> notices) {
         CrashLedger ledger = new CrashLedger();
-        words.forEach(word -> word.applyTo(ledger));
+        notices.forEach(notice -> notice.applyTo(ledger));
         return ledger;
     }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/quarantine/CrashLedgerTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/quarantine/CrashLedgerTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What is held against requests when instances end.
+ * Which requests are suspected or condemned after crashes.
  *
- * <p>Twelve engines ended under one request within fifteen seconds, each with two to twenty-four
- * innocent requests, whose callers sent them again at once: they mostly met the guilty one again.
+ * <p>The failure: twelve engines crashed under one request within 15 s, each with 2 to 24 innocent
+ * requests, whose callers retried at once and mostly met the same request again.
  */
 class CrashLedgerTest {
 
-    private static final RequestDigest CRASHING = digest("guilty");
+    private static final RequestDigest CRASHING = digest("crashing");
     private static final RequestDigest NEIGHBOUR = digest("neighbour");
     private static final RequestDigest OTHER = digest("other");
 
@@ -25,7 +25,7 @@
 
     @Test
     void firstCrashMakesAllItsRequestsSuspects() {
-        crashed("i-1", CRASHING, NEIGHBOUR);
+        recordCrash("i-1", CRASHING, NEIGHBOUR);
         assertThat(standing(CRASHING)).isEqualTo(new Standing.Suspect(1));
         assertThat(standing(NEIGHBOUR)).isEqualTo(new Standing.Suspect(1));
         assertThat(standing(OTHER)).isEqualTo(new Standing.Clear());
@@ -33,8 +33,8 @@
 
     @Test
     void onlyRequestCommonToTwoCrashesIsCondemned() {
-        crashed("i-1", CRASHING, NEIGHBOUR);
-        crashed("i-2", CRASHING, OTHER);
+        recordCrash("i-1", CRASHING, NEIGHBOUR);
+        recordCrash("i-2", CRASHING, OTHER);
         assertThat(standing(CRASHING)).isInstanceOf(Standing.Condemned.class);
         assertThat(standing(NEIGHBOUR)).isEqualTo(new Standing.Suspect(1));
         assertThat(standing(OTHER)).isEqualTo(new Standing.Suspect(1));
@@ -42,18 +42,18 @@
 
     @Test
     void thirdCrashDecidesBetweenTwoRequestsInTheSameTwoCrashes() {
-        crashed("i-1", CRASHING, NEIGHBOUR);
-        crashed("i-2", CRASHING, NEIGHBOUR);
+        recordCrash("i-1", CRASHING, NEIGHBOUR);
+        recordCrash("i-2", CRASHING, NEIGHBOUR);
         assertThat(standing(CRASHING)).isEqualTo(new Standing.Suspect(2));
-        crashed("i-3", CRASHING);
+        recordCrash("i-3", CRASHING);
         assertThat(standing(CRASHING)).isInstanceOf(Standing.Condemned.class);
         assertThat(standing(NEIGHBOUR)).isEqualTo(new Standing.Suspect(2));
     }
 
     @Test
     void repeatedNoticesOfOneCrashCountOnce() {
-        for (int told = 0; told < 5; told++) {
-            crashed("i-1", CRASHING);
+        for (int report = 0; report < 5; report++) {
+            recordCrash("i-1", CRASHING);
         }
         assertThat(standing(CRASHING)).isEqualTo(new Standing.Suspect(1));
     }
@@ -67,12 +67,12 @@
 
     @Test
     void harmlessEndAcquitsOfEarlierCrashes() {
-        crashed("i-1", NEIGHBOUR, CRASHING);
-        crashed("i-2", NEIGHBOUR, CRASHING);
+        recordCrash("i-1", NEIGHBOUR, CRASHING);
+        recordCrash("i-2", NEIGHBOUR, CRASHING);
         Acquittal acquittal = ledger.recordHarmlessEnd(NEIGHBOUR).orElseThrow();
         assertThat(standing(NEIGHBOUR)).isEqualTo(new Standing.Clear());
         assertThat(standing(CRASHING)).isInstanceOf(Standing.Condemned.class);
-        crashed("i-2", NEIGHBOUR);
+        recordCrash("i-2", NEIGHBOUR);
         assertThat(standing(NEIGHBOUR)).isEqualTo(new Standing.Clear());
         assertThat(acquittal.incarnations()).hasSize(2);
     }
@@ -80,7 +80,7 @@
     @Test
     void acquittalReceivedBeforeItsCrashesCounts() {
         ledger.applyAcquittal(new Acquittal(NEIGHBOUR, Set.of(new UpstreamId("i-1"))));
-        crashed("i-1", NEIGHBOUR);
+        recordCrash("i-1", NEIGHBOUR);
         assertThat(standing(NEIGHBOUR)).isEqualTo(new Standing.Clear());
     }
 
@@ -96,8 +96,8 @@
 
     @Test
     void expiredSentenceLeavesASuspectAndOneMoreCrashRenewsIt() {
-        crashed("i-1", CRASHING);
-        crashed("i-2", CRASHING);
+        recordCrash("i-1", CRASHING);
+        recordCrash("i-2", CRASHING);
         long later = Duration.ofMinutes(11).toNanos();
         assertThat(ledger.standing(CRASHING, later)).isEqualTo(new Standing.Suspect(2));
         ledger.recordCrash(new Crash(new UpstreamId("i-3"), Set.of(CRASHING)), later);
@@ -106,7 +106,7 @@
 
     @Test
     void suspicionExpires() {
-        crashed("i-1", NEIGHBOUR);
+        recordCrash("i-1", NEIGHBOUR);
         long later = Duration.ofMinutes(3).toNanos();
         assertThat(ledger.standing(NEIGHBOUR, later)).isEqualTo(new Standing.Clear());
         ledger.sweep(Duration.ofHours(1).toNanos());
@@ -118,14 +118,14 @@
     void floodOfCrashesStaysWithinTheBoundAndKeepsSentences() {
         ledger.applySentences(List.of(CRASHING), 0);
         for (int count = 0; count < 10_000; count++) {
-            crashed("i-" + count, digest("flood" + count));
+            recordCrash("i-" + count, digest("flood" + count));
         }
         assertThat(ledger.size()).isLessThanOrEqualTo(4000);
         assertThat(ledger.crashes()).hasSizeLessThanOrEqualTo(4000);
         assertThat(standing(CRASHING)).isInstanceOf(Standing.Condemned.class);
     }
 
-    private void crashed(String instance, RequestDigest... requests) {
+    private void recordCrash(String instance, RequestDigest... requests) {
         ledger.recordCrash(new Crash(new UpstreamId(instance), Set.of(requests)), 0);
     }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/quarantine/CrashSimulation.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/quarantine/CrashSimulation.java
@@ -15,8 +15,9 @@
 import java.util.stream.IntStream;
 
 /**
- * Replays a load in which some requests end the instances that begin them, with the ledgers and
- * trials of several hosts and a word that takes its time. Times in milliseconds.
+ * Simulates a load in which some requests crash the instances that begin to run them, with the
+ * ledgers and isolations of several hosts and delayed notices between them. Times are in
+ * milliseconds.
  */
 final class CrashSimulation {
 
@@ -33,17 +34,17 @@
     private static final int MAX_WAIT = 800;
     private static final int LATE_AFTER = 3_000;
 
-    /** How often an innocent request comes in all, if its instances end. */
+    /** How often an innocent request is sent in all, if its instances crash. */
     private static final int MAX_ATTEMPTS = 4;
 
     /**
-     * What a replay is about.
+     * The parameters of a run.
      *
      * @param hosts how many hosts take requests
-     * @param fatal how many requests end instances
-     * @param word until another host has heard
-     * @param remembers whether anything is held against requests
-     * @param spontaneous how often an instance ends under nobody, 0 for never
+     * @param fatal how many requests crash instances
+     * @param noticeDelay the time until a notice reaches the other hosts
+     * @param usesLedger whether hosts consult their ledgers
+     * @param spontaneousCrashInterval the interval of crashes that no request causes, 0 for none
      */
     record Scenario(
             int hosts,
@@ -53,19 +54,19 @@
             int spontaneousCrashInterval) {}
 
     /**
-     * What came of it.
+     * The result of a run.
      *
-     * @param most the most lives that ended under one request
-     * @param late ends under one request later than the time in which word spreads after the third
+     * @param maxCrashes the most crashes that one request caused
+     * @param lateCrashes crashes by a request more than {@link #LATE_AFTER} after its third one
      * @param innocent innocent requests
-     * @param served of these, how many were served at any of their tries
-     * @param blamed of these, how many were refused as if they ended instances
+     * @param served innocent requests that were served at any attempt
+     * @param wronglyRefused attempts of innocent requests that were refused as condemned
      */
     record Result(int maxCrashes, int lateCrashes, int innocent, int served, int wronglyRefused) {}
 
     private record Event(long at, long order, Runnable action) {}
 
-    /** One try of a request. */
+    /** One attempt of a request. */
     private static final class Attempt {
         private final RequestDigest request;
         private final boolean fatal;
@@ -74,10 +75,10 @@
         private final long arrivedAt;
         private boolean over;
 
-        private Attempt(RequestDigest request, boolean fatal, int tries, int host, long came) {
+        private Attempt(RequestDigest request, boolean fatal, int number, int host, long came) {
             this.request = request;
             this.fatal = fatal;
-            this.number = tries;
+            this.number = number;
             this.host = host;
             this.arrivedAt = came;
         }
@@ -100,17 +101,17 @@
     private int served;
     private int wronglyRefused;
 
-    private CrashSimulation(Scenario setting, long seed) {
-        this.scenario = setting;
+    private CrashSimulation(Scenario scenario, long seed) {
+        this.scenario = scenario;
         this.random = new Random(seed);
-        for (int host = 0; host < setting.hosts(); host++) {
+        for (int host = 0; host < scenario.hosts(); host++) {
             ledgers.add(new CrashLedger());
             isolations.add(new SuspectIsolation());
         }
     }
 
-    static Result run(Scenario setting, long seed) {
-        return new CrashSimulation(setting, seed).run();
+    static Result run(Scenario scenario, long seed) {
+        return new CrashSimulation(scenario, seed).run();
     }
 
     private Result run() {
@@ -146,77 +147,78 @@
                 : (int) times.stream().filter(at -> at > times.get(2) + LATE_AFTER).count();
     }
 
-    private void arrive(RequestDigest request, boolean fatal, int tries) {
+    private void arrive(RequestDigest request, boolean fatal, int number) {
         int host = random.nextInt(scenario.hosts());
-        tryDispatch(new Attempt(request, fatal, tries, host, now));
+        tryDispatch(new Attempt(request, fatal, number, host, now));
     }
 
-    private void tryDispatch(Attempt one) {
+    private void tryDispatch(Attempt attempt) {
         Standing standing =
                 scenario.usesLedger()
-                        ? ledgers.get(one.host).standing(one.request, nanos())
+                        ? ledgers.get(attempt.host).standing(attempt.request, nanos())
                         : new Standing.Clear();
         boolean suspect = standing instanceof Standing.Suspect;
         if (standing instanceof Standing.Condemned) {
-            wronglyRefused += one.fatal ? 0 : 1;
+            wronglyRefused += attempt.fatal ? 0 : 1;
             return;
         }
-        Optional<UpstreamId> instance = choose(one, suspect);
+        Optional<UpstreamId> instance = choose(attempt, suspect);
         if (instance.isPresent()) {
-            send(one, instance.get(), suspect);
-        } else if (now - one.arrivedAt < MAX_WAIT) {
-            schedule(now + RECHECK_INTERVAL, () -> tryDispatch(one));
+            send(attempt, instance.get(), suspect);
+        } else if (now - attempt.arrivedAt < MAX_WAIT) {
+            schedule(now + RECHECK_INTERVAL, () -> tryDispatch(attempt));
         }
     }
 
-    private Optional<UpstreamId> choose(Attempt one, boolean suspect) {
+    private Optional<UpstreamId> choose(Attempt attempt, boolean suspect) {
         List<UpstreamId> up =
                 IntStream.range(0, INSTANCES)
                         .filter(number -> upAt[number] <= now)
                         .mapToObj(this::incarnation)
                         .toList();
-        SuspectIsolation here = isolations.get(one.host);
+        SuspectIsolation here = isolations.get(attempt.host);
         if (!suspect) {
             return up.isEmpty() ? Optional.empty() : Optional.of(up.get(random.nextInt(up.size())));
         }
-        if (here.isRunning(one.request)) {
+        if (here.isRunning(attempt.request)) {
             return Optional.empty();
         }
         return up.stream()
                 .filter(id -> !here.isOccupied(id))
-                .min(Comparator.comparingLong(id -> SuspectIsolation.rank(one.request, id)));
+                .min(Comparator.comparingLong(id -> SuspectIsolation.rank(attempt.request, id)));
     }
 
-    private void send(Attempt one, UpstreamId instance, boolean suspect) {
-        running.computeIfAbsent(instance, key -> new LinkedHashSet<>()).add(one);
+    private void send(Attempt attempt, UpstreamId instance, boolean suspect) {
+        running.computeIfAbsent(instance, key -> new LinkedHashSet<>()).add(attempt);
         if (suspect) {
-            isolations.get(one.host).begin(instance, one.request);
+            isolations.get(attempt.host).begin(instance, attempt.request);
         }
         schedule(
                 now + ANSWER_BEGINS_AFTER,
-                () -> isolations.get(one.host).end(instance, one.request));
-        if (one.fatal) {
-            schedule(now + CRASHES_AFTER, () -> crashTimes(one, instance));
+                () -> isolations.get(attempt.host).end(instance, attempt.request));
+        if (attempt.fatal) {
+            schedule(now + CRASHES_AFTER, () -> crash(attempt, instance));
         } else {
-            schedule(now + RUN_TIME, () -> complete(one, instance));
+            schedule(now + RUN_TIME, () -> complete(attempt, instance));
         }
     }
 
-    private void complete(Attempt one, UpstreamId instance) {
-        if (one.over) {
+    private void complete(Attempt attempt, UpstreamId instance) {
+        if (attempt.over) {
             return;
         }
-        one.over = true;
-        running.get(instance).remove(one);
+        attempt.over = true;
+        running.get(instance).remove(attempt);
         served++;
-        ledgers.get(one.host)
-                .recordHarmlessEnd(one.request)
+        ledgers.get(attempt.host)
+                .recordHarmlessEnd(attempt.request)
                 .ifPresent(
                         acquittal ->
-                                notifyOthers(one.host, ledger -> ledger.applyAcquittal(acquittal)));
+                                notifyOthers(
+                                        attempt.host, ledger -> ledger.applyAcquittal(acquittal)));
     }
 
-    private void crashTimes(Attempt fatal, UpstreamId instance) {
+    private void crash(Attempt fatal, UpstreamId instance) {
         if (fatal.over) {
             return;
         }
@@ -228,24 +230,26 @@
         UpstreamId instance = incarnation(number);
         incarnations[number]++;
         upAt[number] = now + RESTART_TIME;
-        for (Attempt one : List.copyOf(running.getOrDefault(instance, Set.of()))) {
-            one.over = true;
-            running.get(instance).remove(one);
-            isolations.get(one.host).end(instance, one.request);
-            Crash crash = new Crash(instance, Set.of(one.request));
-            ledgers.get(one.host).recordCrash(crash, nanos());
-            notifyOthers(one.host, ledger -> ledger.recordCrash(crash, nanos()));
-            if (!one.fatal && one.number < MAX_ATTEMPTS) {
-                schedule(now + RETRY_DELAY, () -> arrive(one.request, false, one.number + 1));
+        for (Attempt attempt : List.copyOf(running.getOrDefault(instance, Set.of()))) {
+            attempt.over = true;
+            running.get(instance).remove(attempt);
+            isolations.get(attempt.host).end(instance, attempt.request);
+            Crash crash = new Crash(instance, Set.of(attempt.request));
+            ledgers.get(attempt.host).recordCrash(crash, nanos());
+            notifyOthers(attempt.host, ledger -> ledger.recordCrash(crash, nanos()));
+            if (!attempt.fatal && attempt.number < MAX_ATTEMPTS) {
+                schedule(
+                        now + RETRY_DELAY,
+                        () -> arrive(attempt.request, false, attempt.number + 1));
             }
         }
     }
 
-    private void notifyOthers(int from, Consumer<CrashLedger> word) {
+    private void notifyOthers(int from, Consumer<CrashLedger> notice) {
         for (int host = 0; host < scenario.hosts(); host++) {
             CrashLedger ledger = ledgers.get(host);
             if (host != from) {
-                schedule(now + scenario.noticeDelay(), () -> word.accept(ledger));
+                schedule(now + scenario.noticeDelay(), () -> notice.accept(ledger));
             }
         }
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/quarantine/CrashSimulationTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/quarantine/CrashSimulationTest.java
@@ -9,9 +9,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * How many lives of instances end, and what becomes of innocent requests, while some requests end
- * the instances that begin them and come again every 0.3 s at any host. Innocent requests come up
- * to four times, as those of the most patient callers whose instances end.
+ * How many crashes requests cause, and how many innocent requests are lost, while some requests
+ * crash the instances that begin to run them and are sent again every 0.3 s to any host. An
+ * innocent request is sent up to four times, as by the most persistent callers, while its instances
+ * crash.
  */
 class CrashSimulationTest {
 
@@ -32,26 +33,26 @@
         "8,95,0.012"
     })
     void crashesAreBoundedAndHardlyAnyInnocentRequestIsRefused(
-            int fatal, int hosts, double blamedAtMost) {
+            int fatal, int hosts, double maxRefusedShare) {
         List<CrashSimulation.Result> results = run(fatal, hosts, NOTICE_DELAY_MILLIS, true);
-        print("word 10 ms, fatal " + fatal + ", hosts " + hosts, results);
+        print("notices after 10 ms, fatal " + fatal + ", hosts " + hosts, results);
         assertThat(results).allMatch(result -> result.lateCrashes() == 0);
         assertThat(results).allMatch(result -> result.maxCrashes() <= 5);
-        assertThat(wronglyRefusedShare(results)).isLessThanOrEqualTo(blamedAtMost);
+        assertThat(wronglyRefusedShare(results)).isLessThanOrEqualTo(maxRefusedShare);
     }
 
     @ParameterizedTest
     @CsvSource({"2,3", "2,95"})
     void lateNoticesCauseMoreCrashesButNotForLong(int fatal, int hosts) {
         List<CrashSimulation.Result> results = run(fatal, hosts, LATE_NOTICE_DELAY_MILLIS, true);
-        print("word 500 ms, fatal " + fatal + ", hosts " + hosts, results);
+        print("notices after 500 ms, fatal " + fatal + ", hosts " + hosts, results);
         assertThat(results).allMatch(result -> result.lateCrashes() == 0);
     }
 
     @Test
     void withoutALedgerCrashesGoOn() {
         List<CrashSimulation.Result> results = run(2, 6, NOTICE_DELAY_MILLIS, false);
-        print("no memory, fatal 2, hosts 6", results);
+        print("no ledger, fatal 2, hosts 6", results);
         assertThat(results).allMatch(result -> result.lateCrashes() > 3);
     }
 
@@ -60,7 +61,7 @@
     void spontaneousCrashesHardlyCondemnInnocentRequests(int fatal, int every) {
         List<CrashSimulation.Result> results =
                 run(new CrashSimulation.Scenario(6, fatal, NOTICE_DELAY_MILLIS, true, every));
-        print("an end under nobody every " + every + " ms, fatal " + fatal, results);
+        print("a spontaneous crash every " + every + " ms, fatal " + fatal, results);
         assertThat(wronglyRefusedShare(results)).isLessThan(0.001);
     }
 
@@ -71,20 +72,20 @@
     }
 
     private static List<CrashSimulation.Result> run(
-            int fatal, int hosts, int word, boolean remembers) {
-        return run(new CrashSimulation.Scenario(hosts, fatal, word, remembers, 0));
+            int fatal, int hosts, int noticeDelay, boolean usesLedger) {
+        return run(new CrashSimulation.Scenario(hosts, fatal, noticeDelay, usesLedger, 0));
     }
 
-    private static List<CrashSimulation.Result> run(CrashSimulation.Scenario setting) {
+    private static List<CrashSimulation.Result> run(CrashSimulation.Scenario scenario) {
         return IntStream.range(0, SEEDS)
-                .mapToObj(seed -> CrashSimulation.run(setting, seed))
+                .mapToObj(seed -> CrashSimulation.run(scenario, seed))
                 .toList();
     }
 
     private static double wronglyRefusedShare(List<CrashSimulation.Result> results) {
         long innocent = results.stream().mapToLong(CrashSimulation.Result::innocent).sum();
-        long blamed = results.stream().mapToLong(CrashSimulation.Result::wronglyRefused).sum();
-        return (double) blamed / innocent;
+        long refused = results.stream().mapToLong(CrashSimulation.Result::wronglyRefused).sum();
+        return (double) refused / innocent;
     }
 
     private static void print(String name, List<CrashSimulation.Result> results) {
@@ -95,10 +96,10 @@
                         .mapToDouble(result -> (double) result.served() / result.innocent())
                         .average()
                         .orElseThrow();
-        int blamed = results.stream().mapToInt(CrashSimulation.Result::wronglyRefused).sum();
+        int refused = results.stream().mapToInt(CrashSimulation.Result::wronglyRefused).sum();
         System.out.printf(
-                "%s: lives ended under one request: median %d, most %d; innocent served %.4f,"
-                        + " refused as guilty %d%n",
-                name, most[most.length / 2], most[most.length - 1], served, blamed);
+                "%s: crashes by one request: median %d, most %d; innocent served %.4f,"
+                        + " wrongly refused %d%n",
+                name, most[most.length / 2], most[most.length - 1], served, refused);
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/quarantine/HostPauseDetectorTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/quarantine/HostPauseDetectorTest.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** What a host that stood still makes of what it sees when it wakes. */
+/** Whether a moment lies before a pause of the process. */
 class HostPauseDetectorTest {
 
     private final HostPauseDetector pauses = new HostPauseDetector(0);
--- a/stackhall-core/src/test/java/io/stackhall/core/quarantine/RequestDigestTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/quarantine/RequestDigestTest.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** What a request is known again by. */
+/** Which requests have the same digest. */
 class RequestDigestTest {
 
     private static final byte[] BODY = "body".getBytes(StandardCharsets.UTF_8);
--- a/stackhall-core/src/test/java/io/stackhall/core/quarantine/UnconfirmedCrashesTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/quarantine/UnconfirmedCrashesTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Instances that are back before anybody could see that they had ended. */
+/** An instance that restarts before any host can observe its crash. */
 class UnconfirmedCrashesTest {
 
     private static final UpstreamId FIRST = new UpstreamId("i-1", 1000);
--- a/stackhall-core/src/test/java/io/stackhall/core/quarantine/package-info.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of how requests that end instances are known and kept apart. */
+/** Tests of how crashing requests are recognized and isolated. */
 package io.stackhall.core.quarantine;
