--- a/stackhall-core/src/main/java/io/stackhall/core/customer/AllowanceKeeper.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/AllowanceManager.java
@@ -14,18 +14,18 @@
  * fixed share of a limit would be less than one request; see docs/design/customers.md for the ways
  * that were weighed. Moments are in nanoseconds.
  */
-public final class AllowanceKeeper {
+public final class AllowanceManager {
 
     /** The customer or its limit is about to be known here: a configuration is under way. */
     private static final Duration UNKNOWN_RETRY = Duration.ofMillis(300);
 
     private final Map<CustomerId, CustomerAllowance> allowances = new HashMap<>();
-    private Customers customers = Customers.none();
+    private Customers configure = Customers.unrestricted();
 
     /** Puts the customers of a configuration into force. */
-    public void customers(Customers next, long now) {
-        customers = next;
-        allowances.keySet().removeIf(id -> next.named(id).isEmpty());
+    public void configure(Customers next, long now) {
+        configure = next;
+        allowances.keySet().removeIf(id -> next.findById(id).isEmpty());
         for (Customer customer : next.all()) {
             CustomerAllowance held = allowances.get(customer.id());
             if (customer.limit().isEmpty()) {
@@ -42,9 +42,9 @@
      * Begins anew, when this host has become the one keeper. What its predecessor granted is not
      * known; it is taken for all that the limits allowed.
      */
-    public void begin(long now) {
+    public void reset(long now) {
         allowances.clear();
-        customers(customers, now);
+        configure(configure, now);
     }
 
     /** Decides about a request of a customer. */
@@ -53,16 +53,16 @@
         if (held != null) {
             return held.take(cost, now);
         }
-        return customers.named(customer).isPresent()
+        return configure.findById(customer).isPresent()
                 ? new AllowanceVerdict.Granted()
                 : new AllowanceVerdict.Denied(UNKNOWN_RETRY);
     }
 
     /** Takes back the cost of a request that was granted and has not run. */
-    public void giveBack(CustomerId customer, double cost, long now) {
+    public void refund(CustomerId customer, double cost, long now) {
         CustomerAllowance held = allowances.get(customer);
         if (held != null) {
-            held.giveBack(cost, now);
+            held.refund(cost, now);
         }
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/customer/Customer.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/Customer.java
@@ -17,7 +17,7 @@
         CustomerId id, Set<KeyDigest> keys, OptionalInt rank, Optional<CustomerLimit> limit) {
 
     /** Engines know ten ranks: three for the routes of each of the most urgent customers' ranks. */
-    private static final int RANKS_OF_ROUTES = 3;
+    private static final int ROUTE_RANKS = 3;
 
     /** Copies the keys. */
     public Customer {
@@ -25,10 +25,10 @@
     }
 
     /** Returns the rank of its request on a route: by its own rank first, then by the route's. */
-    public int rankOn(int routeRank) {
+    public int combinedRank(int routeRank) {
         if (rank.isEmpty()) {
             return routeRank;
         }
-        return rank.getAsInt() * RANKS_OF_ROUTES + Math.min(routeRank, RANKS_OF_ROUTES - 1);
+        return rank.getAsInt() * ROUTE_RANKS + Math.min(routeRank, ROUTE_RANKS - 1);
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/customer/CustomerAllowance.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/CustomerAllowance.java
@@ -14,14 +14,14 @@
     private static final double NANOS_PER_SECOND = 1e9;
 
     /** Nobody is told to come back later than this: by then the limit itself may have changed. */
-    private static final double MOST_WAIT_SECONDS = 10;
+    private static final double MAX_RETRY_AFTER_SECONDS = 10;
 
     private CustomerLimit limit;
     private double level;
-    private long countedAt;
+    private long refilledAt;
 
     /** What those that were refused are expected to take when they come back, in units. */
-    private double promised;
+    private double expectedRetryCost;
 
     /**
      * Creates an allowance that has to grow first: what was granted before by another keeper, or by
@@ -29,12 +29,12 @@
      */
     CustomerAllowance(CustomerLimit limit, long now) {
         this.limit = limit;
-        this.countedAt = now;
+        this.refilledAt = now;
     }
 
     /** Puts another limit into force; what a lower burst does not hold is lost. */
     void limit(CustomerLimit next, long now) {
-        count(now);
+        refill(now);
         limit = next;
         level = Math.min(level, limit.burst());
     }
@@ -45,33 +45,34 @@
 
     /** Takes the cost of a request, if the allowance is not overdrawn. */
     AllowanceVerdict take(double cost, long now) {
-        count(now);
+        refill(now);
         if (level >= 0) {
             level -= cost;
-            promised = Math.max(0, promised - cost);
+            expectedRetryCost = Math.max(0, expectedRetryCost - cost);
             return new AllowanceVerdict.Granted();
         }
-        double seconds = (promised - level) / limit.perSecond();
-        promised = Math.min(promised + cost, MOST_WAIT_SECONDS * limit.perSecond());
+        double seconds = (expectedRetryCost - level) / limit.perSecond();
+        expectedRetryCost =
+                Math.min(expectedRetryCost + cost, MAX_RETRY_AFTER_SECONDS * limit.perSecond());
         return new AllowanceVerdict.Denied(
                 Duration.ofNanos(Math.round(seconds * NANOS_PER_SECOND)));
     }
 
     /** Takes back the cost of a request that was granted and has not run. */
-    void giveBack(double cost, long now) {
-        count(now);
+    void refund(double cost, long now) {
+        refill(now);
         level = Math.min(limit.burst(), level + cost);
     }
 
-    private void count(long now) {
-        double grown = (now - countedAt) / NANOS_PER_SECOND * limit.perSecond();
-        countedAt = now;
+    private void refill(long now) {
+        double grown = (now - refilledAt) / NANOS_PER_SECOND * limit.perSecond();
+        refilledAt = now;
         if (grown <= 0) {
             return;
         }
         level = Math.min(limit.burst(), level + grown);
         if (level >= 0) {
-            promised = Math.max(0, promised - grown);
+            expectedRetryCost = Math.max(0, expectedRetryCost - grown);
         }
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/customer/Customers.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/Customers.java
@@ -10,10 +10,10 @@
 /** The customers of one configuration, found by name or by key. */
 public final class Customers {
 
-    private static final Customers UNKNOWN = new Customers(List.of(), false);
+    private static final Customers UNRESTRICTED = new Customers(List.of(), false);
 
     private final List<Customer> all;
-    private final boolean keysNeeded;
+    private final boolean keysRequired;
     private final Map<CustomerId, Customer> byId = new HashMap<>();
     private final Map<KeyDigest, Customer> byKey = new HashMap<>();
 
@@ -23,7 +23,7 @@
     }
 
     private Customers(Collection<Customer> customers, boolean keysNeeded) {
-        this.keysNeeded = keysNeeded;
+        this.keysRequired = keysNeeded;
         all = List.copyOf(customers);
         for (Customer customer : all) {
             byId.put(customer.id(), customer);
@@ -32,13 +32,13 @@
     }
 
     /** Returns the customers of a configuration that speaks of none: everybody may send. */
-    public static Customers none() {
-        return UNKNOWN;
+    public static Customers unrestricted() {
+        return UNRESTRICTED;
     }
 
     /** Returns whether requests need a customer's key; where a list is empty, nobody has one. */
-    public boolean keysNeeded() {
-        return keysNeeded;
+    public boolean keysRequired() {
+        return keysRequired;
     }
 
     /** Returns all, in the order in which they were named. */
@@ -47,12 +47,12 @@
     }
 
     /** Returns the customer of that name. */
-    public Optional<Customer> named(CustomerId id) {
+    public Optional<Customer> findById(CustomerId id) {
         return Optional.ofNullable(byId.get(id));
     }
 
     /** Returns the customer that holds a key. */
-    public Optional<Customer> holding(KeyDigest key) {
+    public Optional<Customer> findByKey(KeyDigest key) {
         return Optional.ofNullable(byKey.get(key));
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/customer/KeyAccess.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/KeyAccess.java
@@ -31,16 +31,17 @@
      * @param keys the keys that the request carries
      * @param trusted whether the host may rely on the keys that it knows
      */
-    public static Verdict judge(
+    public static Verdict authenticate(
             Customers customers, boolean open, List<KeyDigest> keys, boolean trusted) {
-        if (!customers.keysNeeded()) {
+        if (!customers.keysRequired()) {
             return new Verdict.Anyone();
         }
-        Verdict strict = judgeKeys(customers, keys, trusted);
+        Verdict strict = authenticateKeys(customers, keys, trusted);
         return open && !(strict instanceof Verdict.Of) ? new Verdict.Anyone() : strict;
     }
 
-    private static Verdict judgeKeys(Customers customers, List<KeyDigest> keys, boolean trusted) {
+    private static Verdict authenticateKeys(
+            Customers customers, List<KeyDigest> keys, boolean trusted) {
         if (keys.size() != 1) {
             String reason = keys.isEmpty() ? "it carries no key" : "it carries several keys";
             return new Verdict.Unknown(reason);
@@ -49,7 +50,7 @@
             return new Verdict.Uncertain();
         }
         return customers
-                .holding(keys.getFirst())
+                .findByKey(keys.getFirst())
                 .<Verdict>map(Verdict.Of::new)
                 .orElse(new Verdict.Unknown("its key is not known"));
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/customer/KeyTrust.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/KeyLease.java
@@ -14,16 +14,16 @@
  *
  * <p>Moments are of a clock that goes on while the machine is suspended, in nanoseconds.
  */
-public final class KeyTrust {
+public final class KeyLease {
 
     /** The rest is for a request that is judged just before its lease ends and sent after. */
-    private static final int LEASED_PERCENT = 80;
+    private static final int LEASE_PERCENT = 80;
 
     private static final int PERCENT = 100;
 
-    private final Optional<Duration> lease;
-    private boolean confirmed;
-    private long askedAt;
+    private final Optional<Duration> duration;
+    private boolean renew;
+    private long renewedAt;
 
     /**
      * Creates the trust of a host that has not been confirmed yet.
@@ -31,8 +31,8 @@
      * @param revocation within which time after its acknowledgement a change that takes a key away
      *     holds on every host; empty where hosts that no word reaches may go on
      */
-    public KeyTrust(Optional<Duration> revocation) {
-        this.lease = revocation.map(time -> time.multipliedBy(LEASED_PERCENT).dividedBy(PERCENT));
+    public KeyLease(Optional<Duration> revocation) {
+        this.duration = revocation.map(time -> time.multipliedBy(LEASE_PERCENT).dividedBy(PERCENT));
     }
 
     /**
@@ -40,20 +40,20 @@
      *
      * @param asked when the host asked for it
      */
-    public void confirmed(long asked) {
-        if (!confirmed || asked - askedAt > 0) {
-            confirmed = true;
-            askedAt = asked;
+    public void renew(long asked) {
+        if (!renew || asked - renewedAt > 0) {
+            renew = true;
+            renewedAt = asked;
         }
     }
 
     /** Returns whether keys may be relied on. */
-    public boolean holds(long now) {
-        return lease.isEmpty() || (confirmed && age(now).compareTo(lease.get()) < 0);
+    public boolean isValid(long now) {
+        return duration.isEmpty() || (renew && age(now).compareTo(duration.get()) < 0);
     }
 
     /** Returns how long ago the host asked for the last confirmation that it got. */
     public Duration age(long now) {
-        return Duration.ofNanos(now - askedAt);
+        return Duration.ofNanos(now - renewedAt);
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/customer/LimitTolerance.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/LimitTolerance.java
@@ -14,7 +14,7 @@
     private static final double MILLIS_PER_SECOND = 1000;
 
     /** Returns what all hosts together may run beyond a limit in a window, in its units. */
-    public double beyond(CustomerLimit limit) {
+    public double allowedExcess(CustomerLimit limit) {
         double seconds = window.toMillis() / MILLIS_PER_SECOND;
         return ratio * (limit.perSecond() * seconds + limit.burst()) + slack;
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/customer/OutageAllowance.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/OutageAllowance.java
@@ -20,7 +20,7 @@
     private static final double USED_SHARE = 0.5;
 
     /** By then the control group has usually elected its next leader. */
-    private static final Duration NEXT_LEADER = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final LimitTolerance tolerance;
     private final RandomGenerator random;
@@ -29,16 +29,16 @@
     /** One customer's share on this host. */
     private static final class Share {
         private double level;
-        private long countedAt;
+        private long refilledAt;
 
         private Share(long now) {
-            countedAt = now;
+            refilledAt = now;
         }
 
-        private void count(double most, long windowNanos, long now) {
-            double grown = most * (now - countedAt) / windowNanos;
+        private void refill(double most, long windowNanos, long now) {
+            double grown = most * (now - refilledAt) / windowNanos;
             level = Math.min(most, level + Math.max(0, grown));
-            countedAt = now;
+            refilledAt = now;
         }
     }
 
@@ -49,7 +49,7 @@
     }
 
     /** Notes a customer, whose share grows from now on. */
-    public void known(CustomerId customer, long now) {
+    public void addCustomer(CustomerId customer, long now) {
         shares.computeIfAbsent(customer, ignored -> new Share(now));
     }
 
@@ -61,8 +61,8 @@
     public AllowanceVerdict take(
             CustomerId customer, CustomerLimit limit, double cost, int hosts, long now) {
         Share share = shares.computeIfAbsent(customer, ignored -> new Share(now));
-        double most = USED_SHARE * tolerance.beyond(limit) / Math.max(1, hosts);
-        share.count(most, tolerance.window().toNanos(), now);
+        double most = USED_SHARE * tolerance.allowedExcess(limit) / Math.max(1, hosts);
+        share.refill(most, tolerance.window().toNanos(), now);
         if (cost <= 0) {
             return new AllowanceVerdict.Granted();
         }
@@ -73,6 +73,6 @@
         }
         boolean granted = random.nextDouble() < chance;
         share.level = 0;
-        return granted ? new AllowanceVerdict.Granted() : new AllowanceVerdict.Denied(NEXT_LEADER);
+        return granted ? new AllowanceVerdict.Granted() : new AllowanceVerdict.Denied(RETRY_AFTER);
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/customer/CustomerAllowanceTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/customer/CustomerAllowanceTest.java
@@ -18,7 +18,7 @@
             new CustomerLimit(CustomerLimit.Unit.TOKENS, 100, 50, 1);
 
     @Test
-    void refusalTellsWhenThereIsRoom() {
+    void denialCarriesTheTimeUntilCapacityIsFree() {
         CustomerAllowance allowance = new CustomerAllowance(LIMIT, 0);
         assertThat(allowance.take(200, 0)).isInstanceOf(AllowanceVerdict.Granted.class);
         AllowanceVerdict refused = allowance.take(10, 0);
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void thoseThatAreRefusedTogetherAreToldToComeOneAfterTheOther() {
+    void simultaneousDenialsCarryStaggeredRetryTimes() {
         CustomerAllowance allowance = new CustomerAllowance(LIMIT, 0);
         allowance.take(100, 0);
         Duration first = ((AllowanceVerdict.Denied) allowance.take(100, 0)).retryAfter();
@@ -36,15 +36,15 @@
     }
 
     @Test
-    void whatHasNotRunIsGivenBack() {
+    void costOfARequestThatDidNotRunIsRefunded() {
         CustomerAllowance allowance = new CustomerAllowance(LIMIT, 0);
         allowance.take(500, 0);
-        allowance.giveBack(500, 0);
+        allowance.refund(500, 0);
         assertThat(allowance.take(10, 0)).isInstanceOf(AllowanceVerdict.Granted.class);
     }
 
     @Test
-    void lowerLimitHoldsAtOnce() {
+    void lowerLimitAppliesAtOnce() {
         CustomerAllowance allowance = new CustomerAllowance(LIMIT, 0);
         allowance.limit(new CustomerLimit(CustomerLimit.Unit.TOKENS, 1, 0, 1), seconds(10));
         allowance.take(10, seconds(10));
@@ -53,7 +53,7 @@
     }
 
     @Property
-    boolean noWindowHasMoreThanTheLimitAndOneRequest(
+    boolean noWindowExceedsTheLimitByMoreThanOneRequest(
             @ForAll @Size(min = 1, max = 200) List<@IntRange(min = 0, max = 120) Integer> gaps,
             @ForAll @IntRange(min = 1, max = 80) int cost) {
         CustomerAllowance allowance = new CustomerAllowance(LIMIT, 0);
--- a/stackhall-core/src/test/java/io/stackhall/core/customer/KeyAccessTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/customer/KeyAccessTest.java
@@ -21,66 +21,66 @@
     private static final Customers CUSTOMERS = new Customers(List.of(NORTH));
 
     @Test
-    void whereNoCustomersAreSpokenOfNoKeyIsNeeded() {
-        assertThat(KeyAccess.judge(Customers.none(), false, List.of(), false))
+    void configurationWithoutCustomersRequiresNoKey() {
+        assertThat(KeyAccess.authenticate(Customers.unrestricted(), false, List.of(), false))
                 .isEqualTo(new Verdict.Anyone());
     }
 
     @Test
-    void emptyListOfCustomersLetsNobodyIn() {
-        assertThat(KeyAccess.judge(new Customers(List.of()), false, List.of(GOOD), true))
+    void emptyListOfCustomersAdmitsNoKey() {
+        assertThat(KeyAccess.authenticate(new Customers(List.of()), false, List.of(GOOD), true))
                 .isInstanceOf(Verdict.Unknown.class);
     }
 
     @Test
-    void knownKeyNamesItsHolder() {
-        assertThat(KeyAccess.judge(CUSTOMERS, false, List.of(GOOD), true))
+    void knownKeyIdentifiesItsCustomer() {
+        assertThat(KeyAccess.authenticate(CUSTOMERS, false, List.of(GOOD), true))
                 .isEqualTo(new Verdict.Of(NORTH));
     }
 
     @Test
     void missingUnknownAndSeveralKeysAreRefused() {
-        assertThat(KeyAccess.judge(CUSTOMERS, false, List.of(), true))
+        assertThat(KeyAccess.authenticate(CUSTOMERS, false, List.of(), true))
                 .isInstanceOf(Verdict.Unknown.class);
-        assertThat(KeyAccess.judge(CUSTOMERS, false, List.of(OTHER), true))
+        assertThat(KeyAccess.authenticate(CUSTOMERS, false, List.of(OTHER), true))
                 .isInstanceOf(Verdict.Unknown.class);
-        assertThat(KeyAccess.judge(CUSTOMERS, false, List.of(GOOD, OTHER), true))
+        assertThat(KeyAccess.authenticate(CUSTOMERS, false, List.of(GOOD, OTHER), true))
                 .isInstanceOf(Verdict.Unknown.class);
     }
 
     @Test
-    void hostWithoutTrustSaysSoOfEachKey() {
-        assertThat(KeyAccess.judge(CUSTOMERS, false, List.of(GOOD), false))
+    void everyKeyIsUncertainWithoutAValidLease() {
+        assertThat(KeyAccess.authenticate(CUSTOMERS, false, List.of(GOOD), false))
                 .isEqualTo(new Verdict.Uncertain());
-        assertThat(KeyAccess.judge(CUSTOMERS, false, List.of(OTHER), false))
+        assertThat(KeyAccess.authenticate(CUSTOMERS, false, List.of(OTHER), false))
                 .isEqualTo(new Verdict.Uncertain());
     }
 
     @Test
-    void openRouteTakesAnybody() {
-        assertThat(KeyAccess.judge(CUSTOMERS, true, List.of(), true))
+    void openRouteRequiresNoKey() {
+        assertThat(KeyAccess.authenticate(CUSTOMERS, true, List.of(), true))
                 .isEqualTo(new Verdict.Anyone());
-        assertThat(KeyAccess.judge(CUSTOMERS, true, List.of(OTHER), false))
+        assertThat(KeyAccess.authenticate(CUSTOMERS, true, List.of(OTHER), false))
                 .isEqualTo(new Verdict.Anyone());
-        assertThat(KeyAccess.judge(CUSTOMERS, true, List.of(GOOD), true))
+        assertThat(KeyAccess.authenticate(CUSTOMERS, true, List.of(GOOD), true))
                 .isEqualTo(new Verdict.Of(NORTH));
     }
 
     @Test
-    void customersRankGoesBeforeTheRoutes() {
-        assertThat(NORTH.rankOn(0)).isLessThan(NORTH.rankOn(1));
-        assertThat(NORTH.rankOn(0))
+    void customersRankPrecedesTheRoutesRank() {
+        assertThat(NORTH.combinedRank(0)).isLessThan(NORTH.combinedRank(1));
+        assertThat(NORTH.combinedRank(0))
                 .isGreaterThan(
                         new Customer(
                                         new CustomerId("south"),
                                         Set.of(),
                                         OptionalInt.of(1),
                                         Optional.empty())
-                                .rankOn(7));
+                                .combinedRank(7));
     }
 
     @Test
-    void digestSaysNothingOfItsKey() {
+    void textFormDoesNotRevealTheKey() {
         assertThat(GOOD.toString()).doesNotContain("good");
         assertThat(NORTH.toString()).doesNotContain("good");
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/customer/KeyTrustTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/customer/KeyLeaseTest.java
@@ -10,50 +10,50 @@
 import org.junit.jupiter.api.Test;
 
 /** Whether a key that was taken away ends in time on a host that hears nothing of it. */
-class KeyTrustTest {
+class KeyLeaseTest {
 
     private static final Duration REVOCATION = Duration.ofSeconds(5);
 
     @Test
-    void hostThatWasNeverConfirmedTrustsNoKey() {
-        assertThat(new KeyTrust(Optional.of(REVOCATION)).holds(0)).isFalse();
+    void leaseIsInvalidBeforeTheFirstConfirmation() {
+        assertThat(new KeyLease(Optional.of(REVOCATION)).isValid(0)).isFalse();
     }
 
     @Test
-    void trustLastsFromTheQuestionNotFromTheAnswer() {
-        KeyTrust trust = new KeyTrust(Optional.of(REVOCATION));
-        trust.confirmed(millis(1000));
-        assertThat(trust.holds(millis(4999))).isTrue();
-        assertThat(trust.holds(millis(5000))).isFalse();
+    void leaseLastsFromTheRequestNotFromTheConfirmation() {
+        KeyLease trust = new KeyLease(Optional.of(REVOCATION));
+        trust.renew(millis(1000));
+        assertThat(trust.isValid(millis(4999))).isTrue();
+        assertThat(trust.isValid(millis(5000))).isFalse();
     }
 
     @Test
-    void lateAnswerToAnEarlierQuestionTakesNothingBack() {
-        KeyTrust trust = new KeyTrust(Optional.of(REVOCATION));
-        trust.confirmed(millis(2000));
-        trust.confirmed(millis(1000));
-        assertThat(trust.holds(millis(5500))).isTrue();
+    void lateConfirmationOfAnEarlierRequestDoesNotShortenTheLease() {
+        KeyLease trust = new KeyLease(Optional.of(REVOCATION));
+        trust.renew(millis(2000));
+        trust.renew(millis(1000));
+        assertThat(trust.isValid(millis(5500))).isTrue();
     }
 
     @Test
-    void whereHostsOutOfReachMayGoOnNoConfirmationIsNeeded() {
-        assertThat(new KeyTrust(Optional.empty()).holds(0)).isTrue();
+    void withoutARevocationTimeNoConfirmationIsNeeded() {
+        assertThat(new KeyLease(Optional.empty()).isValid(0)).isTrue();
     }
 
     /** A change that the quorum did not know of when it answered was acknowledged after that. */
     @Property
-    boolean trustEndsBeforeAnUnheardChangeMustHold(
+    boolean leaseEndsBeforeAnUnknownChangeMustApply(
             @ForAll @LongRange(min = 0, max = 10_000) long askedAt,
             @ForAll @LongRange(min = 0, max = 900) long answerTakes,
             @ForAll @LongRange(min = 0, max = 20_000) long acknowledgedLater,
             @ForAll @LongRange(min = 0, max = 40_000) long judgedLater) {
-        KeyTrust trust = new KeyTrust(Optional.of(REVOCATION));
+        KeyLease trust = new KeyLease(Optional.of(REVOCATION));
         long answered = askedAt + answerTakes;
         long acknowledged = askedAt + acknowledgedLater;
         long judged = answered + judgedLater;
-        trust.confirmed(millis(askedAt));
+        trust.renew(millis(askedAt));
         boolean overdue = judged >= acknowledged + REVOCATION.toMillis();
-        return !(overdue && trust.holds(millis(judged)));
+        return !(overdue && trust.isValid(millis(judged)));
     }
 
     private static long millis(long millis) {
--- a/stackhall-core/src/test/java/io/stackhall/core/customer/LimitReplay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/customer/LimitSimulation.java
@@ -16,30 +16,30 @@
  * customers of different size at 0.55 of their limits each, and one of them, if wanted, at 4.2
  * times its limit. Times are in milliseconds.
  */
-final class LimitReplay {
+final class LimitSimulation {
 
     static final int HOSTS = 89;
     static final int CUSTOMERS = 16;
-    static final long LENGTH = 30_000;
+    static final long DURATION = 30_000;
     static final LimitTolerance TOLERANCE = new LimitTolerance(Duration.ofSeconds(8), 0.1, 17_000);
 
-    private static final double USUAL = 0.55;
-    private static final double HOT = 4.2;
-    private static final long KEYS_HOLD = 4000;
+    private static final double NORMAL_LOAD = 0.55;
+    private static final double OVERLOAD = 4.2;
+    private static final long KEY_LEASE = 4000;
 
     private final Random random;
-    private final Trouble trouble;
+    private final Faults faults;
     private final List<Deque<Run>> windows = new ArrayList<>();
-    private final double[] inWindow = new double[CUSTOMERS];
-    private double worstBeyond = Double.NEGATIVE_INFINITY;
-    private int askedBelow;
-    private int refusedBelow;
+    private final double[] windowCosts = new double[CUSTOMERS];
+    private double worstExcess = Double.NEGATIVE_INFINITY;
+    private int requestsBelowLimit;
+    private int refusedBelowLimit;
 
     /** What goes wrong. */
-    record Trouble(boolean hot, long leaderLostFor, long thirdCutFor) {}
+    record Faults(boolean overload, long leaderLostMillis, long partitionMillis) {}
 
     /** Decides which requests run. */
-    interface Way {
+    interface Strategy {
         /** Returns whether a request is run at a host that reaches the leader or does not. */
         boolean admits(int host, int customer, double cost, boolean reaches, long now);
 
@@ -58,11 +58,11 @@
      * @param refusedBelow the share of the requests of customers below their limits that was
      *     refused
      */
-    record Outcome(double worstBeyond, double refusedBelow) {}
+    record Result(double worstExcess, double refusedShare) {}
 
-    LimitReplay(long seed, Trouble trouble) {
+    LimitSimulation(long seed, Faults trouble) {
         this.random = new Random(seed);
-        this.trouble = trouble;
+        this.faults = trouble;
         for (int customer = 0; customer < CUSTOMERS; customer++) {
             windows.add(new ArrayDeque<>());
         }
@@ -91,40 +91,41 @@
         return new Customers(all);
     }
 
-    Outcome play(Way way) {
+    Result run(Strategy way) {
         long lostAt = 12_000;
         long cutAt = 10_000;
         boolean leaderWas = true;
-        for (long now = 0; now < LENGTH; now++) {
-            boolean leader = now < lostAt || now >= lostAt + trouble.leaderLostFor();
+        for (long now = 0; now < DURATION; now++) {
+            boolean leader = now < lostAt || now >= lostAt + faults.leaderLostMillis();
             if (leader && !leaderWas) {
                 way.leaderChanged(now);
             }
             leaderWas = leader;
             long cutFor = now - cutAt;
-            boolean cut = cutFor >= 0 && cutFor < trouble.thirdCutFor();
+            boolean cut = cutFor >= 0 && cutFor < faults.partitionMillis();
             for (int customer = 0; customer < CUSTOMERS; customer++) {
-                arrivals(way, customer, leader, cut, cutFor, now);
+                generate(way, customer, leader, cut, cutFor, now);
             }
         }
-        return new Outcome(worstBeyond, (double) refusedBelow / Math.max(1, askedBelow));
+        return new Result(
+                worstExcess, (double) refusedBelowLimit / Math.max(1, requestsBelowLimit));
     }
 
-    private void arrivals(
-            Way way, int customer, boolean leader, boolean cut, long cutFor, long now) {
-        boolean hot = trouble.hot() && customer == 1 && now > 8000 && now < 20_000;
-        double perMilli = limit(customer).perSecond() * (hot ? HOT : USUAL) / 1000;
+    private void generate(
+            Strategy way, int customer, boolean leader, boolean cut, long cutFor, long now) {
+        boolean hot = faults.overload() && customer == 1 && now > 8000 && now < 20_000;
+        double perMilli = limit(customer).perSecond() * (hot ? OVERLOAD : NORMAL_LOAD) / 1000;
         double requests = perMilli / 1300;
         while (requests > 0) {
             if (random.nextDouble() < requests) {
-                one(way, customer, hot, leader, cut, cutFor, now);
+                send(way, customer, hot, leader, cut, cutFor, now);
             }
             requests -= 1;
         }
     }
 
-    private void one(
-            Way way,
+    private void send(
+            Strategy way,
             int customer,
             boolean hot,
             boolean leader,
@@ -134,29 +135,29 @@
         int host = random.nextInt(HOSTS);
         double cost = random.nextBoolean() ? 200 : 1500 + random.nextInt(1800);
         boolean apart = cut && host < HOSTS / 3;
-        if (apart && cutFor > KEYS_HOLD) {
+        if (apart && cutFor > KEY_LEASE) {
             return;
         }
         boolean admitted = way.admits(host, customer, cost, leader && !apart, now);
         if (admitted) {
-            ran(customer, cost, now);
+            recordRun(customer, cost, now);
         }
-        if (!hot && !(trouble.hot() && customer == 1)) {
-            askedBelow++;
-            refusedBelow += admitted ? 0 : 1;
+        if (!hot && !(faults.overload() && customer == 1)) {
+            requestsBelowLimit++;
+            refusedBelowLimit += admitted ? 0 : 1;
         }
     }
 
-    private void ran(int customer, double cost, long now) {
+    private void recordRun(int customer, double cost, long now) {
         Deque<Run> window = windows.get(customer);
         window.addLast(new Run(now, cost));
-        inWindow[customer] += cost;
+        windowCosts[customer] += cost;
         while (window.peekFirst().at() < now - TOLERANCE.window().toMillis()) {
-            inWindow[customer] -= window.removeFirst().cost();
+            windowCosts[customer] -= window.removeFirst().cost();
         }
         CustomerLimit limit = limit(customer);
         double seconds = TOLERANCE.window().toMillis() / 1000.0;
-        double most = limit.perSecond() * seconds + limit.burst() + TOLERANCE.beyond(limit);
-        worstBeyond = Math.max(worstBeyond, inWindow[customer] / most - 1);
+        double most = limit.perSecond() * seconds + limit.burst() + TOLERANCE.allowedExcess(limit);
+        worstExcess = Math.max(worstExcess, windowCosts[customer] / most - 1);
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/customer/LimitWays.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/customer/LimitStrategies.java
@@ -6,22 +6,23 @@
 import java.util.concurrent.TimeUnit;
 
 /** Ways to keep customers' limits over many hosts. */
-final class LimitWays {
+final class LimitStrategies {
 
-    private LimitWays() {}
+    private LimitStrategies() {}
 
     /** The leader counts for all; a host that does not reach it takes its share for outages. */
-    static final class OneKeeper implements LimitReplay.Way {
-        private final AllowanceKeeper keeper = new AllowanceKeeper();
-        private final OutageAllowance[] outages = new OutageAllowance[LimitReplay.HOSTS];
+    static final class Central implements LimitSimulation.Strategy {
+        private final AllowanceManager allowances = new AllowanceManager();
+        private final OutageAllowance[] outages = new OutageAllowance[LimitSimulation.HOSTS];
 
-        OneKeeper(long seed) {
-            keeper.customers(LimitReplay.customers(), 0);
+        Central(long seed) {
+            allowances.configure(LimitSimulation.customers(), 0);
             for (int host = 0; host < outages.length; host++) {
                 outages[host] =
-                        new OutageAllowance(LimitReplay.TOLERANCE, new Random(seed * 1000 + host));
-                for (int customer = 0; customer < LimitReplay.CUSTOMERS; customer++) {
-                    outages[host].known(LimitReplay.id(customer), 0);
+                        new OutageAllowance(
+                                LimitSimulation.TOLERANCE, new Random(seed * 1000 + host));
+                for (int customer = 0; customer < LimitSimulation.CUSTOMERS; customer++) {
+                    outages[host].addCustomer(LimitSimulation.id(customer), 0);
                 }
             }
         }
@@ -31,34 +32,35 @@
             long nanos = TimeUnit.MILLISECONDS.toNanos(now);
             AllowanceVerdict verdict =
                     reaches
-                            ? keeper.take(LimitReplay.id(customer), cost, nanos)
+                            ? allowances.take(LimitSimulation.id(customer), cost, nanos)
                             : outages[host].take(
-                                    LimitReplay.id(customer),
-                                    LimitReplay.limit(customer),
+                                    LimitSimulation.id(customer),
+                                    LimitSimulation.limit(customer),
                                     cost,
-                                    LimitReplay.HOSTS,
+                                    LimitSimulation.HOSTS,
                                     nanos);
             return verdict instanceof AllowanceVerdict.Granted;
         }
 
         @Override
         public void leaderChanged(long now) {
-            keeper.begin(TimeUnit.MILLISECONDS.toNanos(now));
+            allowances.reset(TimeUnit.MILLISECONDS.toNanos(now));
         }
     }
 
     /** Each host has the same fixed part of each limit. */
-    static final class FixedShares implements LimitReplay.Way {
-        private final Bucket[][] buckets = new Bucket[LimitReplay.HOSTS][LimitReplay.CUSTOMERS];
+    static final class FixedShares implements LimitSimulation.Strategy {
+        private final Bucket[][] buckets =
+                new Bucket[LimitSimulation.HOSTS][LimitSimulation.CUSTOMERS];
 
         FixedShares() {
             for (Bucket[] host : buckets) {
                 for (int customer = 0; customer < host.length; customer++) {
-                    CustomerLimit limit = LimitReplay.limit(customer);
+                    CustomerLimit limit = LimitSimulation.limit(customer);
                     host[customer] =
                             new Bucket(
-                                    limit.perSecond() / LimitReplay.HOSTS,
-                                    limit.burst() / LimitReplay.HOSTS);
+                                    limit.perSecond() / LimitSimulation.HOSTS,
+                                    limit.burst() / LimitSimulation.HOSTS);
                 }
             }
         }
@@ -66,7 +68,7 @@
         @Override
         public boolean admits(int host, int customer, double cost, boolean reaches, long now) {
             Bucket bucket = buckets[host][customer];
-            bucket.count(now);
+            bucket.refill(now);
             // Overdrawn by one request, or most customers could run none at all.
             if (bucket.level < 0) {
                 return false;
@@ -77,18 +79,19 @@
     }
 
     /** Each host counts all that it hears of, its own at once and that of others after a while. */
-    static final class Gossip implements LimitReplay.Way {
-        private static final long LAG = 300;
+    static final class Gossip implements LimitSimulation.Strategy {
+        private static final long DELAY = 300;
 
-        private final Bucket[][] buckets = new Bucket[LimitReplay.HOSTS][LimitReplay.CUSTOMERS];
-        private final Deque<Spent> told = new ArrayDeque<>();
+        private final Bucket[][] buckets =
+                new Bucket[LimitSimulation.HOSTS][LimitSimulation.CUSTOMERS];
+        private final Deque<Spent> undelivered = new ArrayDeque<>();
 
         private record Spent(long at, int host, int customer, double cost, boolean reaches) {}
 
         Gossip() {
             for (Bucket[] host : buckets) {
                 for (int customer = 0; customer < host.length; customer++) {
-                    CustomerLimit limit = LimitReplay.limit(customer);
+                    CustomerLimit limit = LimitSimulation.limit(customer);
                     host[customer] = new Bucket(limit.perSecond(), limit.burst());
                 }
             }
@@ -96,24 +99,24 @@
 
         @Override
         public boolean admits(int host, int customer, double cost, boolean reaches, long now) {
-            hear(now);
+            deliver(now);
             Bucket bucket = buckets[host][customer];
-            bucket.count(now);
+            bucket.refill(now);
             if (bucket.level < 0) {
                 return false;
             }
             bucket.level -= cost;
-            told.addLast(new Spent(now, host, customer, cost, reaches));
+            undelivered.addLast(new Spent(now, host, customer, cost, reaches));
             return true;
         }
 
-        private void hear(long now) {
-            while (!told.isEmpty() && told.peekFirst().at() <= now - LAG) {
-                Spent spent = told.removeFirst();
+        private void deliver(long now) {
+            while (!undelivered.isEmpty() && undelivered.peekFirst().at() <= now - DELAY) {
+                Spent spent = undelivered.removeFirst();
                 for (int host = 0; spent.reaches() && host < buckets.length; host++) {
                     if (host != spent.host()) {
                         Bucket bucket = buckets[host][spent.customer()];
-                        bucket.count(now);
+                        bucket.refill(now);
                         bucket.level -= spent.cost();
                     }
                 }
@@ -126,7 +129,7 @@
         private final double perSecond;
         private final double burst;
         private double level;
-        private long countedAt;
+        private long refilledAt;
 
         private Bucket(double perSecond, double burst) {
             this.perSecond = perSecond;
@@ -134,9 +137,9 @@
             this.level = burst;
         }
 
-        private void count(long now) {
-            level = Math.min(burst, level + perSecond * (now - countedAt) / 1000);
-            countedAt = now;
+        private void refill(long now) {
+            level = Math.min(burst, level + perSecond * (now - refilledAt) / 1000);
+            refilledAt = now;
         }
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/AskAgainPlay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/AskAgainPlay.java
@@ -1,6 +1,6 @@
 package io.stackhall.core.limit;
 
-import io.stackhall.core.customer.AllowanceKeeper;
+import io.stackhall.core.customer.AllowanceManager;
 import io.stackhall.core.customer.AllowanceVerdict;
 import io.stackhall.core.customer.Customer;
 import io.stackhall.core.customer.CustomerLimit;
@@ -27,7 +27,7 @@
     private static final long DELAY = Duration.ofMillis(3).toNanos();
 
     private final Random random;
-    private final AllowanceKeeper keeper = new AllowanceKeeper();
+    private final AllowanceManager keeper = new AllowanceManager();
     private final PriorityQueue<Ask> asks = new PriorityQueue<>(Comparator.comparingLong(Ask::at));
     private final List<Long> arrivals = new ArrayList<>();
     private long refused;
@@ -39,7 +39,7 @@
         random = new Random(seed);
         CustomerLimit rate = new CustomerLimit(CustomerLimit.Unit.REQUESTS, limit, 1, 1);
         Customer one = new Customer(ID, Set.of(), OptionalInt.empty(), Optional.of(rate));
-        keeper.customers(new Customers(List.of(one)), 0);
+        keeper.configure(new Customers(List.of(one)), 0);
     }
 
     /** Plays requests that come at a rate and only the upstream can serve. */
--- a/stackhall-core/src/test/java/io/stackhall/core/route/RouteTableTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/route/RouteTableTest.java
@@ -62,7 +62,11 @@
     private static RouteTable table(Route... routes) {
         ServiceEntry service = new ServiceEntry(PLAIN, 10, 0, Optional.empty());
         return new RouteTable(
-                1, List.of(routes), List.of(service), CallerLimits.initial(), Customers.none());
+                1,
+                List.of(routes),
+                List.of(service),
+                CallerLimits.initial(),
+                Customers.unrestricted());
     }
 
     private static Route route(String name, String prefix, int weight) {
--- a/stackhall-server/src/main/java/io/stackhall/server/control/AllowanceDesk.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/AllowanceDesk.java
@@ -1,6 +1,6 @@
 package io.stackhall.server.control;
 
-import io.stackhall.core.customer.AllowanceKeeper;
+import io.stackhall.core.customer.AllowanceManager;
 import io.stackhall.core.customer.AllowanceVerdict;
 import io.stackhall.core.customer.Customers;
 import io.stackhall.core.id.CustomerId;
@@ -17,7 +17,7 @@
 final class AllowanceDesk {
 
     private final ControlGroup group;
-    private final AllowanceKeeper keeper = new AllowanceKeeper();
+    private final AllowanceManager keeper = new AllowanceManager();
     private boolean leading;
 
     AllowanceDesk(ControlGroup group) {
@@ -26,14 +26,14 @@
 
     /** Puts the customers of the newest configuration into force. */
     void customers(Customers next) {
-        keeper.customers(next, BootClock.nanos());
+        keeper.configure(next, BootClock.nanos());
     }
 
     /** Takes in whether this host leads the control group from now on. */
     void led(boolean leads) {
         leading = leads;
         if (leads) {
-            keeper.begin(BootClock.nanos());
+            keeper.reset(BootClock.nanos());
         }
     }
 
@@ -53,7 +53,7 @@
         long now = BootClock.nanos();
         CustomerId customer = new CustomerId(claim.getCustomer());
         if (claim.getReturned() > 0) {
-            keeper.giveBack(customer, claim.getReturned(), now);
+            keeper.refund(customer, claim.getReturned(), now);
         }
         if (claim.getNumber() != 0) {
             answer.addDecisions(
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/CustomerGate.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/CustomerGate.java
@@ -5,7 +5,7 @@
 import io.stackhall.core.customer.Customers;
 import io.stackhall.core.customer.KeyAccess;
 import io.stackhall.core.customer.KeyDigest;
-import io.stackhall.core.customer.KeyTrust;
+import io.stackhall.core.customer.KeyLease;
 import io.stackhall.core.customer.OutageAllowance;
 import io.stackhall.core.route.Route;
 import io.stackhall.server.clock.BootClock;
@@ -16,13 +16,13 @@
 /** Who may send requests through one entry host. Used on one event loop. */
 final class CustomerGate {
 
-    private final KeyTrust trust;
+    private final KeyLease trust;
     private final OutageAllowance outage;
     private final AllowanceClient allowances;
-    private Customers customers = Customers.none();
+    private Customers customers = Customers.unrestricted();
 
     /** Creates the gate of a host that knows no configuration yet. */
-    CustomerGate(KeyTrust trust, OutageAllowance outage, AllowanceClient allowances) {
+    CustomerGate(KeyLease trust, OutageAllowance outage, AllowanceClient allowances) {
         this.trust = trust;
         this.outage = outage;
         this.allowances = allowances;
@@ -32,7 +32,7 @@
     void customers(Customers next) {
         customers = next;
         long now = BootClock.nanos();
-        next.all().forEach(customer -> outage.known(customer.id(), now));
+        next.all().forEach(customer -> outage.addCustomer(customer.id(), now));
     }
 
     /**
@@ -41,12 +41,12 @@
      * @param askedAt when this host asked for it, on the process's clock in nanoseconds
      */
     void confirmed(long askedAt) {
-        trust.confirmed(askedAt);
+        trust.renew(askedAt);
     }
 
     /** Returns whether requests with keys can be taken, if any are needed. */
     boolean ready() {
-        return !customers.keysNeeded() || trust.holds(BootClock.nanos());
+        return !customers.keysRequired() || trust.isValid(BootClock.nanos());
     }
 
     /** Returns how long ago a quorum confirmed the configuration in force. */
@@ -56,17 +56,18 @@
 
     /** Judges whose request one is, by the keys that it carries. */
     KeyAccess.Verdict judge(List<KeyDigest> keys, Route route) {
-        return KeyAccess.judge(customers, route.open(), keys, trust.holds(BootClock.nanos()));
+        return KeyAccess.authenticate(
+                customers, route.open(), keys, trust.isValid(BootClock.nanos()));
     }
 
     /** Returns whether requests carry customers' keys, which no upstream is to see. */
     boolean keysNeeded() {
-        return customers.keysNeeded();
+        return customers.keysRequired();
     }
 
     /** Returns the limit of a customer as it is now. */
     Optional<CustomerLimit> limit(Customer customer) {
-        return customers.named(customer.id()).flatMap(Customer::limit);
+        return customers.findById(customer.id()).flatMap(Customer::limit);
     }
 
     AllowanceClient allowances() {
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
@@ -15,7 +15,7 @@
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.stackhall.core.backpressure.Backpressure;
 import io.stackhall.core.backpressure.RestingUpstreams;
-import io.stackhall.core.customer.KeyTrust;
+import io.stackhall.core.customer.KeyLease;
 import io.stackhall.core.customer.OutageAllowance;
 import io.stackhall.core.dispatch.Dispatcher;
 import io.stackhall.core.dispatch.RetryAllowance;
@@ -199,7 +199,7 @@
         FleetSettings.Limits limits = settings.limits();
         OutageAllowance outage = new OutageAllowance(limits.limitTolerance(), random);
         return new CustomerGate(
-                new KeyTrust(limits.keyRevocation()),
+                new KeyLease(limits.keyRevocation()),
                 outage,
                 new AllowanceClient(loop, new ControlLinks(), outage, this::entryHosts));
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestRights.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestRights.java
@@ -94,7 +94,7 @@
 
     /** Returns the rank of the request. */
     int rank() {
-        return customer.map(one -> one.rankOn(route.rank())).orElse(route.rank());
+        return customer.map(one -> one.combinedRank(route.rank())).orElse(route.rank());
     }
 
     /** Judges by the configuration in force, and asks for the allowance where that is needed. */
--- a/stackhall-server/src/test/java/io/stackhall/server/gateway/RequestRightsTest.java
+++ b/stackhall-server/src/test/java/io/stackhall/server/gateway/RequestRightsTest.java
@@ -9,7 +9,7 @@
 import io.stackhall.core.customer.CustomerLimit;
 import io.stackhall.core.customer.Customers;
 import io.stackhall.core.customer.KeyDigest;
-import io.stackhall.core.customer.KeyTrust;
+import io.stackhall.core.customer.KeyLease;
 import io.stackhall.core.customer.LimitTolerance;
 import io.stackhall.core.customer.OutageAllowance;
 import io.stackhall.core.id.CustomerId;
@@ -71,7 +71,7 @@
         OutageAllowance outage =
                 new OutageAllowance(new LimitTolerance(Duration.ofSeconds(8), 0, 0), new Random(1));
         client = new AllowanceClient(loop, leader, outage, () -> 1);
-        gate = new CustomerGate(new KeyTrust(Optional.empty()), outage, client);
+        gate = new CustomerGate(new KeyLease(Optional.empty()), outage, client);
         gate.customers(new Customers(List.of(NORTH)));
     }
 
