--- a/stackhall-core/src/main/java/io/stackhall/core/admission/Arrival.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/Arrival.java
@@ -42,7 +42,7 @@
     }
 
     /** Returns what the router has to find an upstream for. */
-    RoutingRequest routing(List<UpstreamId> avoided) {
+    RoutingRequest routingRequest(List<UpstreamId> avoided) {
         return new RoutingRequest(target, priority, prefix, reach, avoided);
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/FairQueue.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/FairQueue.java
@@ -13,15 +13,16 @@
  */
 final class FairQueue {
 
-    private final Map<CustomerId, Line> lines = new HashMap<>();
+    private final Map<CustomerId, CallerQueue> queues = new HashMap<>();
     private double virtualTime;
     private int size;
 
-    private static final class Line {
-        private final PriorityQueue<Waiting> waiting =
+    private static final class CallerQueue {
+        private final PriorityQueue<PendingRequest> waiting =
                 new PriorityQueue<>(
-                        Comparator.comparingLong((Waiting item) -> item.arrival().deadline()));
-        private double served;
+                        Comparator.comparingLong(
+                                (PendingRequest item) -> item.arrival().deadline()));
+        private double virtualTime;
     }
 
     int size() {
@@ -32,30 +33,32 @@
         return size == 0;
     }
 
-    void add(Waiting waiting) {
-        Line line = lines.computeIfAbsent(waiting.arrival().caller(), key -> new Line());
+    void add(PendingRequest waiting) {
+        CallerQueue line =
+                queues.computeIfAbsent(waiting.arrival().caller(), key -> new CallerQueue());
         if (line.waiting.isEmpty()) {
-            line.served = Math.max(line.served, virtualTime);
+            line.virtualTime = Math.max(line.virtualTime, virtualTime);
         }
         line.waiting.add(waiting);
         size++;
     }
 
-    Optional<Waiting> peek() {
-        return next().map(line -> line.waiting.peek());
+    Optional<PendingRequest> peek() {
+        return leastServed().map(line -> line.waiting.peek());
     }
 
     /** Removes the request that {@link #peek()} returns and charges its caller for it. */
     void take(double cost) {
-        Line line = next().orElseThrow(() -> new IllegalStateException("nothing waits"));
-        virtualTime = line.served;
-        line.served += cost;
-        Waiting taken = line.waiting.remove();
+        CallerQueue line =
+                leastServed().orElseThrow(() -> new IllegalStateException("nothing waits"));
+        virtualTime = line.virtualTime;
+        line.virtualTime += cost;
+        PendingRequest taken = line.waiting.remove();
         dropIfEmpty(taken, line);
     }
 
-    boolean remove(Waiting waiting) {
-        Line line = lines.get(waiting.arrival().caller());
+    boolean remove(PendingRequest waiting) {
+        CallerQueue line = queues.get(waiting.arrival().caller());
         if (line == null || !line.waiting.remove(waiting)) {
             return false;
         }
@@ -63,19 +66,19 @@
         return true;
     }
 
-    private void dropIfEmpty(Waiting removed, Line line) {
+    private void dropIfEmpty(PendingRequest removed, CallerQueue line) {
         size--;
-        if (line.waiting.isEmpty() && line.served <= virtualTime) {
-            lines.remove(removed.arrival().caller());
+        if (line.waiting.isEmpty() && line.virtualTime <= virtualTime) {
+            queues.remove(removed.arrival().caller());
         }
         if (size == 0) {
-            lines.clear();
+            queues.clear();
         }
     }
 
-    private Optional<Line> next() {
-        return lines.values().stream()
+    private Optional<CallerQueue> leastServed() {
+        return queues.values().stream()
                 .filter(line -> !line.waiting.isEmpty())
-                .min(Comparator.comparingDouble(line -> line.served));
+                .min(Comparator.comparingDouble(line -> line.virtualTime));
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/Waiting.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/PendingRequest.java
@@ -5,16 +5,16 @@
 import java.util.List;
 
 /** A request that waits or runs, with what its attempts have shown. */
-final class Waiting {
+final class PendingRequest {
 
     private final Arrival arrival;
     private final List<UpstreamId> failedOn = new ArrayList<>(0);
     private UpstreamId runningOn;
     private long sentAt;
     private int attempts;
-    private boolean maybeRan;
+    private boolean mayHaveRun;
 
-    Waiting(Arrival arrival) {
+    PendingRequest(Arrival arrival) {
         this.arrival = arrival;
     }
 
@@ -38,8 +38,8 @@
         return sentAt;
     }
 
-    boolean maybeRan() {
-        return maybeRan;
+    boolean mayHaveRun() {
+        return mayHaveRun;
     }
 
     void sent(UpstreamId upstream, long now) {
@@ -53,7 +53,7 @@
         UpstreamId upstream = runningOn;
         runningOn = null;
         failedOn.add(upstream);
-        maybeRan |= !provedNotRun;
+        mayHaveRun |= !provedNotRun;
         return upstream;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/WaitingLines.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/RequestQueues.java
@@ -14,56 +14,56 @@
 import java.util.Set;
 
 /** All requests that wait, by target and priority, counted by caller. */
-final class WaitingLines {
+final class RequestQueues {
 
-    private final Map<Target, EnumMap<Priority, FairQueue>> lines = new LinkedHashMap<>();
+    private final Map<Target, EnumMap<Priority, FairQueue>> queues = new LinkedHashMap<>();
     private final Map<CustomerId, Integer> byCaller = new HashMap<>();
-    private final Set<Waiting> all = new LinkedHashSet<>();
+    private final Set<PendingRequest> all = new LinkedHashSet<>();
 
     int size() {
         return all.size();
     }
 
-    List<Waiting> all() {
+    List<PendingRequest> all() {
         return List.copyOf(all);
     }
 
     List<Target> targets() {
-        return List.copyOf(lines.keySet());
+        return List.copyOf(queues.keySet());
     }
 
-    int ofCaller(CustomerId caller) {
+    int countOfCaller(CustomerId caller) {
         return byCaller.getOrDefault(caller, 0);
     }
 
-    void add(Waiting waiting) {
+    void add(PendingRequest waiting) {
         Arrival arrival = waiting.arrival();
-        lines.computeIfAbsent(arrival.target(), key -> new EnumMap<>(Priority.class))
+        queues.computeIfAbsent(arrival.target(), key -> new EnumMap<>(Priority.class))
                 .computeIfAbsent(arrival.priority(), key -> new FairQueue())
                 .add(waiting);
         all.add(waiting);
         byCaller.merge(arrival.caller(), 1, Integer::sum);
     }
 
-    void remove(Waiting waiting) {
+    void remove(PendingRequest waiting) {
         Arrival arrival = waiting.arrival();
-        line(arrival.target(), arrival.priority()).ifPresent(line -> line.remove(waiting));
-        removed(waiting);
+        queue(arrival.target(), arrival.priority()).ifPresent(line -> line.remove(waiting));
+        forget(waiting);
     }
 
-    void take(FairQueue line, Waiting waiting, double cost) {
+    void take(FairQueue line, PendingRequest waiting, double cost) {
         line.take(cost);
-        removed(waiting);
+        forget(waiting);
     }
 
-    Optional<FairQueue> line(Target target, Priority priority) {
-        EnumMap<Priority, FairQueue> of = lines.get(target);
+    Optional<FairQueue> queue(Target target, Priority priority) {
+        EnumMap<Priority, FairQueue> of = queues.get(target);
         return of == null ? Optional.empty() : Optional.ofNullable(of.get(priority));
     }
 
     /** Returns how many requests of the same or a higher priority wait for a target. */
-    int ahead(Target target, Priority priority) {
-        EnumMap<Priority, FairQueue> of = lines.get(target);
+    int countAhead(Target target, Priority priority) {
+        EnumMap<Priority, FairQueue> of = queues.get(target);
         if (of == null) {
             return 0;
         }
@@ -78,7 +78,7 @@
 
     Map<ModelId, Integer> waitingByModel() {
         Map<ModelId, Integer> counts = new HashMap<>();
-        for (Map.Entry<Target, EnumMap<Priority, FairQueue>> entry : lines.entrySet()) {
+        for (Map.Entry<Target, EnumMap<Priority, FairQueue>> entry : queues.entrySet()) {
             if (entry.getKey() instanceof Target.Model(ModelId model)) {
                 int sum = entry.getValue().values().stream().mapToInt(FairQueue::size).sum();
                 counts.put(model, sum);
@@ -87,14 +87,14 @@
         return counts;
     }
 
-    private void removed(Waiting waiting) {
+    private void forget(PendingRequest waiting) {
         Arrival arrival = waiting.arrival();
         all.remove(waiting);
         byCaller.computeIfPresent(
                 arrival.caller(), (caller, count) -> count == 1 ? null : count - 1);
-        EnumMap<Priority, FairQueue> of = lines.get(arrival.target());
+        EnumMap<Priority, FairQueue> of = queues.get(arrival.target());
         if (of != null && of.values().stream().allMatch(FairQueue::isEmpty)) {
-            lines.remove(arrival.target());
+            queues.remove(arrival.target());
         }
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/ServiceTimes.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/ServiceTimes.java
@@ -8,22 +8,25 @@
 /** A moving mean of how long a request for each target takes. */
 final class ServiceTimes {
 
-    private static final double WEIGHT = 0.1;
-    private static final double CAUTION = 1.5;
-    private static final long ASSUMED_NANOS = Duration.ofMillis(200).toNanos();
+    private static final double SMOOTHING_FACTOR = 0.1;
+    private static final double SAFETY_FACTOR = 1.5;
+    private static final long INITIAL_NANOS = Duration.ofMillis(200).toNanos();
 
     private final Map<Target, Double> means = new HashMap<>();
 
     void observe(Target target, long nanos) {
-        means.merge(target, (double) nanos, (mean, latest) -> mean + WEIGHT * (latest - mean));
+        means.merge(
+                target,
+                (double) nanos,
+                (mean, latest) -> mean + SMOOTHING_FACTOR * (latest - mean));
     }
 
     /** Returns a time within which all but a few requests are served. */
-    long cautiousNanos(Target target) {
-        return (long) (CAUTION * expectedNanos(target));
+    long conservativeNanos(Target target) {
+        return (long) (SAFETY_FACTOR * expectedNanos(target));
     }
 
     long expectedNanos(Target target) {
-        return means.getOrDefault(target, (double) ASSUMED_NANOS).longValue();
+        return means.getOrDefault(target, (double) INITIAL_NANOS).longValue();
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/TrafficEffect.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/TrafficEffect.java
@@ -4,7 +4,7 @@
 import io.stackhall.core.id.UpstreamId;
 import io.stackhall.core.outcome.RequestOutcome;
 
-/** What a {@link TrafficDirector} asks its driver to do. */
+/** What a {@link TrafficScheduler} asks its driver to do. */
 public sealed interface TrafficEffect {
 
     /** Send the request to an upstream, or to another zone's host, at this address. */
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/TrafficEvent.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/TrafficEvent.java
@@ -5,9 +5,9 @@
 import io.stackhall.core.id.UpstreamId;
 import io.stackhall.core.membership.Announcement;
 import io.stackhall.core.outcome.RequestOutcome;
-import io.stackhall.core.routing.Ending;
+import io.stackhall.core.routing.AttemptResult;
 
-/** What can happen to a {@link TrafficDirector}. */
+/** What can happen to a {@link TrafficScheduler}. */
 public sealed interface TrafficEvent {
 
     /** A request asks to be served. */
@@ -25,7 +25,8 @@
      * @param answered whether the caller has got anything of the answer, so that it cannot be tried
      *     again
      */
-    record Ended(RequestId id, Ending ending, RequestOutcome outcome, boolean answered)
+    record AttemptEnded(
+            RequestId id, AttemptResult result, RequestOutcome outcome, boolean answered)
             implements TrafficEvent {}
 
     /** An upstream has announced itself. */
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/TrafficDirector.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/TrafficScheduler.java
@@ -7,7 +7,7 @@
 import io.stackhall.core.id.UpstreamId;
 import io.stackhall.core.membership.Announcement;
 import io.stackhall.core.outcome.RequestOutcome;
-import io.stackhall.core.routing.Ending;
+import io.stackhall.core.routing.AttemptResult;
 import io.stackhall.core.routing.RetryBudget;
 import io.stackhall.core.routing.Router;
 import io.stackhall.core.routing.RoutingRequest;
@@ -29,27 +29,27 @@
  *
  * @see Router
  */
-public final class TrafficDirector {
+public final class TrafficScheduler {
 
     private static final long NANOS_PER_SECOND = Duration.ofSeconds(1).toNanos();
-    private static final int LONGEST_RETRY_AFTER_SECONDS = 60;
-    private static final int RETRY_RESERVE = 10;
+    private static final int MAX_RETRY_AFTER_SECONDS = 60;
+    private static final int INITIAL_RETRIES = 10;
 
     private final AdmissionSettings settings;
     private final Router router;
     private final RetryBudget retries;
-    private final WaitingLines lines = new WaitingLines();
-    private final ServiceTimes times = new ServiceTimes();
-    private final DrainTimes drains = new DrainTimes();
-    private final Map<RequestId, Waiting> known = new HashMap<>();
+    private final RequestQueues queues = new RequestQueues();
+    private final ServiceTimes serviceTimes = new ServiceTimes();
+    private final DispatchIntervals dispatchIntervals = new DispatchIntervals();
+    private final Map<RequestId, PendingRequest> pending = new HashMap<>();
     private final Map<ModelId, Integer> arrivals = new HashMap<>();
     private final List<TrafficEffect> effects = new ArrayList<>();
 
     /** Creates a director over a router that it alone uses. */
-    public TrafficDirector(AdmissionSettings settings, Router router) {
+    public TrafficScheduler(AdmissionSettings settings, Router router) {
         this.settings = settings;
         this.router = router;
-        this.retries = new RetryBudget(settings.retryShare(), RETRY_RESERVE);
+        this.retries = new RetryBudget(settings.retryShare(), INITIAL_RETRIES);
     }
 
     /**
@@ -63,7 +63,7 @@
         switch (event) {
             case TrafficEvent.Arrived(Arrival arrival) -> arrive(arrival, now);
             case TrafficEvent.Withdrawn(RequestId id) -> withdraw(id, now);
-            case TrafficEvent.Ended ended -> end(ended, now);
+            case TrafficEvent.AttemptEnded ended -> end(ended, now);
             case TrafficEvent.Announced announced -> {
                 router.announced(announced.announcement(), now);
                 dispatchAll(now);
@@ -78,7 +78,7 @@
             case TrafficEvent.Configured(Configuration configuration) ->
                     router.configured(configuration);
             case TrafficEvent.Tick() -> {
-                refuseHopeless(now);
+                refuseUnattainable(now);
                 dispatchAll(now);
             }
         }
@@ -96,116 +96,118 @@
 
     /** Returns how many requests wait for each model. */
     public Map<ModelId, Integer> waitingByModel() {
-        return lines.waitingByModel();
+        return queues.waitingByModel();
     }
 
     /** Returns how many requests wait. */
     public int waiting() {
-        return lines.size();
+        return queues.size();
     }
 
     /** Returns how many requests are with upstreams. */
     public int running() {
-        return known.size() - lines.size();
+        return pending.size() - queues.size();
     }
 
     private void arrive(Arrival arrival, long now) {
         if (arrival.target() instanceof Target.Model(ModelId model)) {
             arrivals.merge(model, 1, Integer::sum);
         }
-        Optional<Refusal> refusal = refusalOf(arrival, now);
+        Optional<Refusal> refusal = checkAdmission(arrival, now);
         if (refusal.isPresent()) {
-            refuse(new Waiting(arrival), refusal.get(), now);
+            refuse(new PendingRequest(arrival), refusal.get(), now);
             return;
         }
-        Waiting waiting = new Waiting(arrival);
-        known.put(arrival.id(), waiting);
-        retries.attempted();
-        lines.add(waiting);
+        PendingRequest waiting = new PendingRequest(arrival);
+        pending.put(arrival.id(), waiting);
+        retries.recordFirstAttempt();
+        queues.add(waiting);
         dispatchAll(now);
     }
 
-    private Optional<Refusal> refusalOf(Arrival arrival, long now) {
+    private Optional<Refusal> checkAdmission(Arrival arrival, long now) {
         boolean crowded =
-                lines.size() >= settings.maxWaiting()
-                        || lines.ofCaller(arrival.caller()) >= settings.maxWaitingPerCaller();
+                queues.size() >= settings.maxWaiting()
+                        || queues.countOfCaller(arrival.caller()) >= settings.maxWaitingPerCaller();
         if (crowded) {
             return Optional.of(Refusal.QUEUE_FULL);
         }
         boolean service = arrival.target() instanceof Target.Service;
-        if (service && !router.reachable(arrival.routing(List.of()), now)) {
+        if (service && !router.reachable(arrival.routingRequest(List.of()), now)) {
             return Optional.of(Refusal.UNREACHABLE);
         }
-        long ready = now + expectedWait(arrival, now) + times.cautiousNanos(arrival.target());
+        long ready =
+                now + expectedWait(arrival, now) + serviceTimes.conservativeNanos(arrival.target());
         return ready - arrival.deadline() > 0 ? Optional.of(Refusal.DEADLINE) : Optional.empty();
     }
 
     /** The wait behind the line's backlog, as it has drained lately, or by the upstreams' slots. */
     private long expectedWait(Arrival arrival, long now) {
         Target target = arrival.target();
-        int ownLine = lines.line(target, arrival.priority()).map(FairQueue::size).orElse(0);
-        int slots = router.slots(arrival.routing(List.of()), now);
+        int ownLine = queues.queue(target, arrival.priority()).map(FairQueue::size).orElse(0);
+        int slots = router.slots(arrival.routingRequest(List.of()), now);
         if (ownLine == 0 || slots == 0) {
             return 0;
         }
-        int ahead = lines.ahead(target, arrival.priority());
-        long bySlots = ahead * times.expectedNanos(target) / slots;
-        return drains.waitBehind(target, arrival.priority(), ownLine).orElse(bySlots);
+        int ahead = queues.countAhead(target, arrival.priority());
+        long bySlots = ahead * serviceTimes.expectedNanos(target) / slots;
+        return dispatchIntervals.expectedWait(target, arrival.priority(), ownLine).orElse(bySlots);
     }
 
     private void withdraw(RequestId id, long now) {
-        Waiting waiting = known.get(id);
+        PendingRequest waiting = pending.get(id);
         if (waiting != null && !waiting.running()) {
-            known.remove(id);
-            lines.remove(waiting);
+            pending.remove(id);
+            queues.remove(waiting);
         } else if (waiting != null) {
-            known.remove(id);
-            router.ended(waiting.ended(false), Ending.WITHDRAWN, now);
+            pending.remove(id);
+            router.ended(waiting.ended(false), AttemptResult.WITHDRAWN, now);
             dispatchAll(now);
         }
     }
 
-    private void end(TrafficEvent.Ended ended, long now) {
-        Waiting waiting = known.get(ended.id());
+    private void end(TrafficEvent.AttemptEnded ended, long now) {
+        PendingRequest waiting = pending.get(ended.id());
         if (waiting == null || !waiting.running()) {
             return;
         }
         boolean notRun = ended.outcome() instanceof RequestOutcome.NotRun;
         UpstreamId upstream = waiting.ended(notRun);
-        router.ended(upstream, ended.ending(), now);
+        router.ended(upstream, ended.result(), now);
         Target target = waiting.arrival().target();
         if (ended.outcome() instanceof RequestOutcome.Ran) {
-            known.remove(ended.id());
-            times.observe(target, now - waiting.sentAt());
+            pending.remove(ended.id());
+            serviceTimes.observe(target, now - waiting.sentAt());
         } else if (ended.answered()) {
-            known.remove(ended.id());
+            pending.remove(ended.id());
         } else {
             retryOrRefuse(waiting, notRun, now);
         }
         dispatchAll(now);
     }
 
-    private void retryOrRefuse(Waiting waiting, boolean notRun, long now) {
+    private void retryOrRefuse(PendingRequest waiting, boolean notRun, long now) {
         Arrival arrival = waiting.arrival();
         boolean safe = notRun || arrival.repeatable();
-        boolean inTime = now + times.expectedNanos(arrival.target()) - arrival.deadline() <= 0;
+        boolean inTime =
+                now + serviceTimes.expectedNanos(arrival.target()) - arrival.deadline() <= 0;
         boolean again =
                 safe && inTime && waiting.attempts() < settings.maxAttempts() && retries.tryRetry();
         if (again) {
-            lines.add(waiting);
+            queues.add(waiting);
         } else {
-            known.remove(arrival.id());
+            pending.remove(arrival.id());
             refuse(waiting, Refusal.FAILED, now);
         }
     }
 
-    private void refuseHopeless(long now) {
-        for (Waiting waiting : lines.all()) {
+    private void refuseUnattainable(long now) {
+        for (PendingRequest waiting : queues.all()) {
             Arrival arrival = waiting.arrival();
-            long ready = now + times.cautiousNanos(arrival.target());
+            long ready = now + serviceTimes.conservativeNanos(arrival.target());
             if (ready - arrival.deadline() > 0) {
-                lines.remove(waiting);
-                known.remove(arrival.id());
+                queues.remove(waiting);
+                pending.remove(arrival.id());
                 refuse(waiting, Refusal.DEADLINE, now);
             }
         }
@@ -214,7 +216,7 @@
     /** Serves the most urgent first, and among equals one request of each target in turn. */
     private void dispatchAll(long now) {
         for (Priority priority : Priority.values()) {
-            List<Target> open = new ArrayList<>(lines.targets());
+            List<Target> open = new ArrayList<>(queues.targets());
             while (!open.isEmpty()) {
                 open.removeIf(target -> !dispatchOne(target, priority, now));
             }
@@ -222,14 +224,14 @@
     }
 
     private boolean dispatchOne(Target target, Priority priority, long now) {
-        Optional<FairQueue> line = lines.line(target, priority);
+        Optional<FairQueue> line = queues.queue(target, priority);
         return line.isPresent() && !line.get().isEmpty() && dispatchNext(line.get(), now);
     }
 
     private boolean dispatchNext(FairQueue line, long now) {
-        Waiting waiting = line.peek().orElseThrow();
+        PendingRequest waiting = line.peek().orElseThrow();
         Arrival arrival = waiting.arrival();
-        RoutingRequest request = arrival.routing(waiting.failedOn());
+        RoutingRequest request = arrival.routingRequest(waiting.failedOn());
         if (!router.reachable(request, now)) {
             request = request.avoidingNone();
         }
@@ -237,8 +239,8 @@
         if (chosen.isEmpty()) {
             return false;
         }
-        lines.take(line, waiting, (double) times.expectedNanos(arrival.target()));
-        drains.dispatched(arrival.target(), arrival.priority(), line.size(), now);
+        queues.take(line, waiting, (double) serviceTimes.expectedNanos(arrival.target()));
+        dispatchIntervals.dispatched(arrival.target(), arrival.priority(), line.size(), now);
         waiting.sent(chosen.get(), now);
         router.sent(chosen.get());
         String address = router.announcement(chosen.get()).orElseThrow().address();
@@ -246,9 +248,9 @@
         return true;
     }
 
-    private void refuse(Waiting waiting, Refusal refusal, long now) {
+    private void refuse(PendingRequest waiting, Refusal refusal, long now) {
         RequestOutcome outcome =
-                waiting.maybeRan()
+                waiting.mayHaveRun()
                         ? new RequestOutcome.Unknown("an attempt gave no whole answer")
                         : new RequestOutcome.NotRun(refusal.name());
         effects.add(
@@ -261,6 +263,6 @@
 
     private int retryAfterSeconds(Arrival arrival, long now) {
         long seconds = expectedWait(arrival, now) / NANOS_PER_SECOND + 1;
-        return (int) Math.min(LONGEST_RETRY_AFTER_SECONDS, seconds);
+        return (int) Math.min(MAX_RETRY_AFTER_SECONDS, seconds);
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/outcome/ClaimHomes.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/outcome/ClaimPlacement.java
@@ -14,9 +14,9 @@
  * spread over the zones by rendezvous hashing. The answer depends on the key and the list of zones
  * alone, never on what is reachable, so that both sides of a cut give the same one.
  */
-public final class ClaimHomes {
+public final class ClaimPlacement {
 
-    private static final char ZONE_MARK = ':';
+    private static final char ZONE_SEPARATOR = ':';
 
     private final List<ZoneId> zones;
 
@@ -25,7 +25,7 @@
      *
      * @param zones every availability zone, not empty; the order does not matter
      */
-    public ClaimHomes(List<ZoneId> zones) {
+    public ClaimPlacement(List<ZoneId> zones) {
         if (zones.isEmpty()) {
             throw new IllegalArgumentException("claims need at least one zone");
         }
@@ -33,12 +33,12 @@
     }
 
     /** Returns the zone that keeps the claim of a key. */
-    public ZoneId homeOf(IdempotencyKey key) {
-        return named(key).orElseGet(() -> hashed(key));
+    public ZoneId zoneOf(IdempotencyKey key) {
+        return namedZone(key).orElseGet(() -> hashedZone(key));
     }
 
-    private Optional<ZoneId> named(IdempotencyKey key) {
-        int mark = key.value().indexOf(ZONE_MARK);
+    private Optional<ZoneId> namedZone(IdempotencyKey key) {
+        int mark = key.value().indexOf(ZONE_SEPARATOR);
         if (mark <= 0) {
             return Optional.empty();
         }
@@ -46,7 +46,7 @@
         return zones.stream().filter(zone -> zone.value().equals(prefix)).findFirst();
     }
 
-    private ZoneId hashed(IdempotencyKey key) {
+    private ZoneId hashedZone(IdempotencyKey key) {
         ZoneId best = zones.getFirst();
         long bestWeight = -1;
         for (ZoneId zone : zones) {
--- a/stackhall-core/src/main/java/io/stackhall/core/outcome/ClaimTable.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/outcome/ClaimTable.java
@@ -83,7 +83,7 @@
     }
 
     /** Notes that acknowledged claims may be missing. */
-    public void loseMemory() {
+    public void markMemoryLost() {
         memoryLost = true;
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/outcome/WorkItem.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/outcome/WorkItem.java
@@ -71,7 +71,7 @@
         }
     }
 
-    WorkItem taken(AttemptToken token) {
+    WorkItem withHolder(AttemptToken token) {
         return new WorkItem(
                 id,
                 caller,
@@ -85,15 +85,16 @@
                 answer);
     }
 
-    WorkItem lost(Progress next) {
-        return moved(next, losses + 1, Optional.empty());
+    WorkItem withLostAttempt(Progress next) {
+        return withProgress(next, losses + 1, Optional.empty());
     }
 
-    WorkItem moved(Progress next, Optional<StoredAnswer> nextAnswer) {
-        return moved(next, losses, nextAnswer);
+    WorkItem withProgress(Progress next, Optional<StoredAnswer> nextAnswer) {
+        return withProgress(next, losses, nextAnswer);
     }
 
-    private WorkItem moved(Progress next, int nextLosses, Optional<StoredAnswer> nextAnswer) {
+    private WorkItem withProgress(
+            Progress next, int nextLosses, Optional<StoredAnswer> nextAnswer) {
         return new WorkItem(
                 id,
                 caller,
--- a/stackhall-core/src/main/java/io/stackhall/core/outcome/WorkLedger.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/outcome/WorkLedger.java
@@ -25,9 +25,9 @@
      * A host or an upstream dies under one piece of work once in a long while; five ends in a row
      * are the work's own doing, and each takes along whatever else ran there.
      */
-    private static final int MOST_LOSSES = 5;
+    private static final int MAX_LOST_ATTEMPTS = 5;
 
-    private static final Comparator<WorkItem> MOST_URGENT =
+    private static final Comparator<WorkItem> MOST_URGENT_FIRST =
             Comparator.comparing(WorkItem::priority);
 
     private final Map<WorkId, WorkItem> items = new LinkedHashMap<>();
@@ -108,11 +108,11 @@
         Optional<WorkItem> next =
                 items.values().stream()
                         .filter(item -> item.progress() == WorkItem.Progress.WAITING)
-                        .min(MOST_URGENT);
+                        .min(MOST_URGENT_FIRST);
         if (next.isEmpty()) {
             return new WorkResult.NothingWaits();
         }
-        WorkItem taken = next.get().taken(token);
+        WorkItem taken = next.get().withHolder(token);
         items.put(taken.id(), taken);
         return new WorkResult.Taken(taken);
     }
@@ -122,8 +122,11 @@
         if (!isHeldBy(item, token)) {
             return new WorkResult.Stale();
         }
-        boolean again = item.repeatable() && item.losses() + 1 < MOST_LOSSES;
-        items.put(id, item.lost(again ? WorkItem.Progress.WAITING : WorkItem.Progress.UNCERTAIN));
+        boolean again = item.repeatable() && item.losses() + 1 < MAX_LOST_ATTEMPTS;
+        items.put(
+                id,
+                item.withLostAttempt(
+                        again ? WorkItem.Progress.WAITING : WorkItem.Progress.UNCERTAIN));
         return new WorkResult.Done();
     }
 
@@ -137,7 +140,7 @@
         if (!isHeldBy(item, token)) {
             return new WorkResult.Stale();
         }
-        items.put(id, item.moved(next, answer));
+        items.put(id, item.withProgress(next, answer));
         return new WorkResult.Done();
     }
 
@@ -148,7 +151,7 @@
                 || item.progress() != WorkItem.Progress.WAITING) {
             return new WorkResult.Stale();
         }
-        items.put(id, item.moved(WorkItem.Progress.CANCELLED, Optional.empty()));
+        items.put(id, item.withProgress(WorkItem.Progress.CANCELLED, Optional.empty()));
         return new WorkResult.Done();
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/route/Route.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/route/Route.java
@@ -28,13 +28,13 @@
         String pathPrefix,
         RouteKind kind,
         Duration timeout,
-        Duration objective,
+        Duration latencyObjective,
         int rank,
         List<Share> split,
         int maxAttempts,
         boolean resumable,
-        Duration longestPause,
-        Duration callerPatience,
+        Duration eventGapObjective,
+        Duration callerTimeout,
         boolean open) {
 
     /** Copies the split. */
@@ -55,7 +55,7 @@
      *
      * @param ticket a number drawn evenly from the non-negative integers
      */
-    public ServiceName service(int ticket) {
+    public ServiceName chooseService(int ticket) {
         int total = split.stream().mapToInt(Share::weight).sum();
         int place = total == 0 ? 0 : ticket % total;
         for (Share share : split) {
--- a/stackhall-core/src/main/java/io/stackhall/core/route/RouteTable.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/route/RouteTable.java
@@ -66,13 +66,13 @@
     }
 
     /** Returns the shortest objective of the routes that lead to each service. */
-    public Map<ServiceName, Duration> shortestObjectives() {
+    public Map<ServiceName, Duration> shortestLatencyObjectives() {
         Map<ServiceName, Duration> shortest = new HashMap<>();
         for (Route route : routes) {
             for (Route.Share share : route.split()) {
                 shortest.merge(
                         share.service(),
-                        route.objective(),
+                        route.latencyObjective(),
                         (one, other) -> one.compareTo(other) < 0 ? one : other);
             }
         }
@@ -80,7 +80,7 @@
     }
 
     /** Returns how many requests a second upstreams of each service bear while they are cold. */
-    public Map<ServiceName, Double> coldPerSecond() {
+    public Map<ServiceName, Double> coldRequestRates() {
         Map<ServiceName, Double> all = new HashMap<>();
         services.forEach((name, service) -> all.put(name, service.coldPerSecond()));
         return all;
--- a/stackhall-core/src/main/java/io/stackhall/core/route/RoutesTrust.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/route/RoutesConfirmation.java
@@ -14,15 +14,15 @@
  *
  * <p>Moments are of a clock that goes on while the machine is suspended, in nanoseconds.
  */
-public final class RoutesTrust {
+public final class RoutesConfirmation {
 
     private static final long NONE = -1;
 
-    private final Duration patience;
+    private final Duration quorumTimeout;
     private long held = NONE;
-    private long heard = NONE;
+    private long reported = NONE;
     private long confirmed = NONE;
-    private long newsAt;
+    private long reportedAt;
 
     /**
      * Creates the trust of a host that has heard of nothing.
@@ -30,27 +30,27 @@
      * @param patience how long a host waits for a quorum's word after the last news of a
      *     configuration
      */
-    public RoutesTrust(Duration patience) {
-        this.patience = patience;
+    public RoutesConfirmation(Duration patience) {
+        this.quorumTimeout = patience;
     }
 
     /** Notes that a control host knows a configuration. */
-    public void heard(long version, long now) {
-        if (version > heard) {
-            heard = version;
-            newsAt = now;
+    public void reported(long version, long now) {
+        if (version > reported) {
+            reported = version;
+            reportedAt = now;
         }
     }
 
     /** Notes that a quorum has named a configuration as the newest. */
     public void confirmed(long version, long now) {
-        heard(version, now);
+        reported(version, now);
         confirmed = Math.max(confirmed, version);
     }
 
     /** Notes that this host now holds the whole of a configuration. */
-    public void holds(long version, long now) {
-        heard(version, now);
+    public void received(long version, long now) {
+        reported(version, now);
         held = Math.max(held, version);
     }
 
@@ -59,12 +59,12 @@
      *
      * @param inForce the version in force, negative where there is none
      */
-    public boolean mayObey(long inForce, long now) {
+    public boolean mayActivate(long inForce, long now) {
         if (held <= inForce) {
             return false;
         }
         boolean named = confirmed != NONE && held >= confirmed;
-        return named || now - newsAt >= patience.toNanos();
+        return named || now - reportedAt >= quorumTimeout.toNanos();
     }
 
     /** Returns whether a quorum has named any configuration. */
@@ -74,7 +74,7 @@
 
     /** Returns whether a configuration is known of that this host does not hold. */
     public boolean lacksNewest() {
-        return heard > held;
+        return reported > held;
     }
 
     /** Returns the version of the configuration that is held, negative where there is none. */
@@ -83,8 +83,8 @@
     }
 
     /** Returns the newest version that any control host has told of, negative for none. */
-    public long heard() {
-        return heard;
+    public long reported() {
+        return reported;
     }
 
     /** Returns the newest version that a quorum has named, negative for none. */
--- a/stackhall-core/src/main/java/io/stackhall/core/routing/Ending.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/routing/AttemptResult.java
@@ -1,7 +1,7 @@
 package io.stackhall.core.routing;
 
 /** How an attempt on an upstream ended, as far as the upstream's health is concerned. */
-public enum Ending {
+public enum AttemptResult {
     /** The upstream answered. */
     SERVED,
     /** The upstream said that it is too busy. */
--- a/stackhall-core/src/main/java/io/stackhall/core/routing/RetryBudget.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/routing/RetryBudget.java
@@ -6,7 +6,7 @@
  */
 public final class RetryBudget {
 
-    private static final double HIGHEST = 100;
+    private static final double MAX_TOKENS = 100;
 
     private final double share;
     private double tokens;
@@ -26,8 +26,8 @@
     }
 
     /** Notes a first attempt. */
-    public void attempted() {
-        tokens = Math.min(HIGHEST, tokens + share);
+    public void recordFirstAttempt() {
+        tokens = Math.min(MAX_TOKENS, tokens + share);
     }
 
     /** Takes a retry from the budget if one is left. */
--- a/stackhall-core/src/main/java/io/stackhall/core/routing/Router.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/routing/Router.java
@@ -25,41 +25,41 @@
     private static final double AFFINITY_TOLERANCE = 0.5;
 
     private final RandomGenerator random;
-    private final TargetIndex own;
-    private final TargetIndex elsewhere;
+    private final TargetIndex ownZone;
+    private final TargetIndex otherZones;
     private Configuration configuration = Configuration.initial();
 
     /** Creates a router that knows no upstream. */
     public Router(RoutingSettings settings, RandomGenerator random) {
         this.random = random;
-        this.own = new TargetIndex(settings);
-        this.elsewhere = new TargetIndex(settings);
+        this.ownZone = new TargetIndex(settings);
+        this.otherZones = new TargetIndex(settings);
     }
 
     /** Takes the latest announcement of an upstream of this zone. */
     public void announced(Announcement announcement, long now) {
-        own.announced(announcement, now).draining(isDraining(announcement.id()));
+        ownZone.announced(announcement, now).draining(isDraining(announcement.id()));
     }
 
     /** Forgets an upstream of this zone that has been silent for too long. */
     public void lost(UpstreamId upstream) {
-        own.lost(upstream);
+        ownZone.lost(upstream);
     }
 
     /** Takes the latest announcement of another zone's host. */
     public void neighbourAnnounced(Announcement announcement, long now) {
-        elsewhere.announced(announcement, now);
+        otherZones.announced(announcement, now);
     }
 
     /** Forgets another zone's host that has been silent for too long. */
     public void neighbourLost(UpstreamId neighbour) {
-        elsewhere.lost(neighbour);
+        otherZones.lost(neighbour);
     }
 
     /** Takes the configuration in force. */
     public void configured(Configuration next) {
         configuration = next;
-        own.all().forEach(state -> state.draining(isDraining(state.id())));
+        ownZone.all().forEach(state -> state.draining(isDraining(state.id())));
     }
 
     /** Returns whether an upstream that takes new work could serve a request. */
@@ -103,7 +103,7 @@
     }
 
     /** Notes how a request on an upstream ended. */
-    public void ended(UpstreamId upstream, Ending ending, long now) {
+    public void ended(UpstreamId upstream, AttemptResult ending, long now) {
         find(upstream).ifPresent(state -> state.ended(ending, now));
     }
 
@@ -113,7 +113,7 @@
     }
 
     private Optional<UpstreamState> find(UpstreamId upstream) {
-        return own.find(upstream).or(() -> elsewhere.find(upstream));
+        return ownZone.find(upstream).or(() -> otherZones.find(upstream));
     }
 
     private boolean isDraining(UpstreamId upstream) {
@@ -121,16 +121,16 @@
     }
 
     private List<UpstreamState> candidates(RoutingRequest request, long now) {
-        List<UpstreamState> here = own.holders(request.target());
+        List<UpstreamState> here = ownZone.upstreamsFor(request.target());
         if (request.reach() == Reach.ZONE || anyTakes(here, request, now)) {
             return here;
         }
-        List<UpstreamState> there = elsewhere.holders(request.target());
+        List<UpstreamState> there = otherZones.upstreamsFor(request.target());
         if (anyTakes(there, request, now)) {
             return there;
         }
         boolean loadable = request.target() instanceof Target.Model;
-        return loadable && !own.hasEngine(now) ? elsewhere.engines(now) : here;
+        return loadable && !ownZone.hasEngine(now) ? otherZones.engines(now) : here;
     }
 
     private static boolean anyTakes(List<UpstreamState> states, RoutingRequest request, long now) {
--- a/stackhall-core/src/main/java/io/stackhall/core/routing/TargetIndex.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/routing/TargetIndex.java
@@ -55,21 +55,21 @@
     }
 
     /** Returns the upstreams that can serve a target, whatever their health. */
-    List<UpstreamState> holders(Target target) {
+    List<UpstreamState> upstreamsFor(Target target) {
         return byTarget.getOrDefault(target, List.of());
     }
 
     /** Returns whether an upstream with accelerators takes new work. */
     boolean hasEngine(long now) {
-        return states.values().stream().anyMatch(state -> openEngine(state, now));
+        return states.values().stream().anyMatch(state -> isAvailableEngine(state, now));
     }
 
     /** Returns the upstreams with accelerators that take new work. */
     List<UpstreamState> engines(long now) {
-        return states.values().stream().filter(state -> openEngine(state, now)).toList();
+        return states.values().stream().filter(state -> isAvailableEngine(state, now)).toList();
     }
 
-    private static boolean openEngine(UpstreamState state, long now) {
+    private static boolean isAvailableEngine(UpstreamState state, long now) {
         return state.report().memory().accelerators() > 0 && state.takesNewWork(now);
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/routing/UpstreamState.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/routing/UpstreamState.java
@@ -93,7 +93,7 @@
         }
     }
 
-    void ended(Ending ending, long now) {
+    void ended(AttemptResult ending, long now) {
         inFlight--;
         endedSinceReport++;
         boolean probe = ejected && probing;
--- a/stackhall-core/src/test/java/io/stackhall/core/admission/TrafficDirectorTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/admission/TrafficSchedulerTest.java
@@ -8,7 +8,7 @@
 import io.stackhall.core.id.RequestId;
 import io.stackhall.core.outcome.RequestOutcome;
 import io.stackhall.core.routing.Announcements;
-import io.stackhall.core.routing.Ending;
+import io.stackhall.core.routing.AttemptResult;
 import io.stackhall.core.routing.Reach;
 import io.stackhall.core.routing.Router;
 import io.stackhall.core.routing.RoutingSettings;
@@ -20,13 +20,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Which request is dispatched, which waits, and which is refused at once. */
-class TrafficDirectorTest {
+class TrafficSchedulerTest {
 
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
     private static final Target TARGET = new Target.Model(new ModelId("m"));
 
-    private final TrafficDirector director =
-            new TrafficDirector(
+    private final TrafficScheduler scheduler =
+            new TrafficScheduler(
                     new AdmissionSettings(50, 40, 0.1, 3),
                     new Router(RoutingSettings.standard(), new Random(1)));
     private final List<TrafficEffect> effects = new ArrayList<>();
@@ -40,7 +40,7 @@
         String waiting = arrive("c", Priority.NORMAL, 60);
         String urgent = arrive("d", Priority.URGENT, 60);
         assertThat(dispatched()).doesNotContain(urgent, waiting);
-        end("r0", Ending.SERVED, new RequestOutcome.Ran());
+        end("r0", AttemptResult.SERVED, new RequestOutcome.Ran());
         assertThat(dispatched()).contains(urgent).doesNotContain(waiting);
     }
 
@@ -52,13 +52,13 @@
         }
         String single = arrive("single", Priority.NORMAL, 600);
         for (int at = 0; at < 3; at++) {
-            end(dispatched().getLast(), Ending.SERVED, new RequestOutcome.Ran());
+            end(dispatched().getLast(), AttemptResult.SERVED, new RequestOutcome.Ran());
         }
         assertThat(dispatched()).contains(single);
     }
 
     @Test
-    void whatCannotMakeItsDeadlineIsRefusedAtOnceWithATimeToComeBack() {
+    void requestThatCannotMeetItsDeadlineIsRefusedAtOnceWithARetryTime() {
         announce("a", 1, 1);
         arrive("c", Priority.NORMAL, 60);
         for (int at = 0; at < 30; at++) {
@@ -87,17 +87,17 @@
         announce("a", 1, 4);
         announce("b", 1, 4);
         String once = arrive("c", Priority.NORMAL, 60, false);
-        end(once, Ending.FAILED, new RequestOutcome.Unknown("cut"));
+        end(once, AttemptResult.FAILED, new RequestOutcome.Unknown("cut"));
         assertThat(dispatched()).containsExactly(once);
         assertThat(refusal(once).outcome()).isInstanceOf(RequestOutcome.Unknown.class);
     }
 
     @Test
-    void provedNotRunIsTriedElsewhereThoughNotRepeatable() {
+    void provedNotRunIsRetriedElsewhereThoughNotRepeatable() {
         announce("a", 1, 4);
         announce("b", 1, 4);
         String once = arrive("c", Priority.NORMAL, 60, false);
-        end(once, Ending.FAILED, new RequestOutcome.NotRun("refused"));
+        end(once, AttemptResult.FAILED, new RequestOutcome.NotRun("refused"));
         assertThat(dispatched()).containsExactly(once, once);
         List<TrafficEffect.Dispatch> both =
                 effects.stream()
@@ -111,9 +111,9 @@
     void refusalAfterAnAttemptThatMayHaveRunSaysUnknown() {
         announce("a", 1, 4);
         String request = arrive("c", Priority.NORMAL, 60);
-        end(request, Ending.FAILED, new RequestOutcome.Unknown("cut"));
-        end(request, Ending.FAILED, new RequestOutcome.NotRun("refused"));
-        end(request, Ending.FAILED, new RequestOutcome.NotRun("refused"));
+        end(request, AttemptResult.FAILED, new RequestOutcome.Unknown("cut"));
+        end(request, AttemptResult.FAILED, new RequestOutcome.NotRun("refused"));
+        end(request, AttemptResult.FAILED, new RequestOutcome.NotRun("refused"));
         assertThat(refusal(request).outcome()).isInstanceOf(RequestOutcome.Unknown.class);
     }
 
@@ -125,25 +125,25 @@
         for (int at = 0; at < 100; at++) {
             String request = arrive("c" + at, Priority.URGENT, 60);
             now += SECOND;
-            director.step(
+            scheduler.step(
                     new TrafficEvent.Announced(Announcements.engine("a", at + 2, "m", 1000, 0)),
                     now);
             int before = effects.size();
-            end(request, Ending.OVERLOADED, new RequestOutcome.NotRun("busy"));
+            end(request, AttemptResult.OVERLOADED, new RequestOutcome.NotRun("busy"));
             attempts +=
                     (int)
                             effects.stream()
                                     .skip(before)
-                                    .filter(TrafficDirectorTest::dispatches)
+                                    .filter(TrafficSchedulerTest::dispatches)
                                     .count();
         }
         assertThat(attempts).isBetween(1, 25);
     }
 
     @Test
-    void requestForAModelThatIsNowhereWaitsAndIsDispatchedOnceItIsResident() {
+    void requestForANonResidentModelIsDispatchedOnceTheModelIsResident() {
         String request = arrive("c", Priority.NORMAL, 60);
-        assertThat(director.waitingByModel()).containsEntry(new ModelId("m"), 1);
+        assertThat(scheduler.waitingByModel()).containsEntry(new ModelId("m"), 1);
         announce("a", 1, 4);
         assertThat(dispatched()).containsExactly(request);
     }
@@ -173,12 +173,12 @@
         return id;
     }
 
-    private void end(String id, Ending ending, RequestOutcome outcome) {
-        take(new TrafficEvent.Ended(new RequestId(id), ending, outcome, false));
+    private void end(String id, AttemptResult ending, RequestOutcome outcome) {
+        take(new TrafficEvent.AttemptEnded(new RequestId(id), ending, outcome, false));
     }
 
     private void take(TrafficEvent event) {
-        effects.addAll(director.step(event, now));
+        effects.addAll(scheduler.step(event, now));
     }
 
     private List<String> dispatched() {
--- a/stackhall-core/src/test/java/io/stackhall/core/outcome/ClaimTableTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/outcome/ClaimTableTest.java
@@ -66,8 +66,8 @@
     }
 
     @Test
-    void afterALossOfMemoryUnknownKeysAreUncertainUntilItIsTrusted() {
-        table.loseMemory();
+    void unknownKeysAreUncertainAfterMemoryLossUntilMemoryIsTrusted() {
+        table.markMemoryLost();
         assertThat(claim(KEY, FIRST)).isInstanceOf(ClaimResult.Uncertain.class);
         table.apply(new ClaimCommand.TrustMemory());
         assertThat(claim(KEY, FIRST)).isInstanceOf(ClaimResult.Granted.class);
@@ -85,25 +85,25 @@
     void stateIsRestoredWhole() {
         claim(KEY, FIRST);
         table.apply(new ClaimCommand.Complete(KEY, FIRST, ANSWER));
-        table.loseMemory();
+        table.markMemoryLost();
         ClaimTable restored = new ClaimTable(table.state());
         assertThat(restored.state()).isEqualTo(table.state());
     }
 
     @Test
-    void homeDependsOnTheKeyAloneAndNamedZonesAreHonoured() {
+    void zoneDependsOnTheKeyAloneAndNamedZonesAreHonoured() {
         ZoneId yoff = new ZoneId("yoff");
         List<ZoneId> zones = List.of(new ZoneId("plateau"), yoff, new ZoneId("rufisque"));
-        ClaimHomes homes = new ClaimHomes(zones);
-        ClaimHomes reversed = new ClaimHomes(zones.reversed());
+        ClaimPlacement homes = new ClaimPlacement(zones);
+        ClaimPlacement reversed = new ClaimPlacement(zones.reversed());
         Map<ZoneId, Integer> spread = new HashMap<>();
         for (int at = 0; at < 3000; at++) {
             IdempotencyKey key = new IdempotencyKey("key-" + at);
-            assertThat(reversed.homeOf(key)).isEqualTo(homes.homeOf(key));
-            spread.merge(homes.homeOf(key), 1, Integer::sum);
+            assertThat(reversed.zoneOf(key)).isEqualTo(homes.zoneOf(key));
+            spread.merge(homes.zoneOf(key), 1, Integer::sum);
         }
         assertThat(spread.values()).hasSize(3).allMatch(count -> count > 850 && count < 1150);
-        assertThat(homes.homeOf(new IdempotencyKey("yoff:1"))).isEqualTo(yoff);
+        assertThat(homes.zoneOf(new IdempotencyKey("yoff:1"))).isEqualTo(yoff);
     }
 
     private ClaimResult claim(ClaimKey key, AttemptToken token) {
--- a/stackhall-core/src/test/java/io/stackhall/core/outcome/WorkLedgerTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/outcome/WorkLedgerTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void resentAcceptKeepsOnePiece() {
+    void resentAcceptIsStoredOnce() {
         accept("a", Priority.DEFERRED, true);
         accept("a", Priority.DEFERRED, true);
         assertThat(ledger.items()).hasSize(1);
@@ -50,7 +50,7 @@
      * another and across their restarts.
      */
     @Test
-    void workWhoseAttemptsAreLostAgainAndAgainIsRunNoMore() {
+    void workIsUncertainAfterTheMaximumOfLostAttempts() {
         accept("fatal", Priority.DEFERRED, true);
         for (int attempt = 0; attempt < 5; attempt++) {
             assertThat(take("t" + attempt)).isEqualTo("fatal");
--- a/stackhall-core/src/test/java/io/stackhall/core/replication/RoutesAfterRestartProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/replication/RoutesAfterRestartProperties.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.stackhall.core.route.RoutesTrust;
+import io.stackhall.core.route.RoutesConfirmation;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -41,7 +41,7 @@
 
     /** One entry host in one of its lives. */
     private static final class EntryHost {
-        private final RoutesTrust trust = new RoutesTrust(PATIENCE);
+        private final RoutesConfirmation trust = new RoutesConfirmation(PATIENCE);
         private final long acknowledgedBefore;
         private final String primary;
         private long inForce = NONE;
@@ -144,10 +144,10 @@
                     continue;
                 }
                 long told = newest(control.applied);
-                entry.trust.heard(told, now);
+                entry.trust.reported(told, now);
                 boolean whole = name.equals(entry.primary) || name.equals(asked);
                 if (whole && told > entry.trust.held()) {
-                    entry.trust.holds(told, now);
+                    entry.trust.received(told, now);
                 }
             }
             if (!entry.trust.isConfirmed()) {
@@ -158,7 +158,7 @@
         }
 
         private void obey(EntryHost entry, long now) {
-            if (!entry.trust.mayObey(entry.inForce, now)) {
+            if (!entry.trust.mayActivate(entry.inForce, now)) {
                 return;
             }
             entry.inForce = entry.trust.held();
--- a/stackhall-core/src/test/java/io/stackhall/core/route/RouteTableTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/route/RouteTableTest.java
@@ -19,34 +19,34 @@
     void longestPrefixOfTheHostWins() {
         RouteTable table =
                 table(route("all", "/", 1), route("a", "/a/", 1), route("ab", "/a/b/", 1));
-        assertThat(named(table, "a.example", "/a/b/c?q=/")).contains("ab");
-        assertThat(named(table, "A.Example:8080", "/a/x")).contains("a");
-        assertThat(named(table, "a.example", "/ab/")).contains("all");
-        assertThat(named(table, "b.example", "/a/")).isEmpty();
+        assertThat(findName(table, "a.example", "/a/b/c?q=/")).contains("ab");
+        assertThat(findName(table, "A.Example:8080", "/a/x")).contains("a");
+        assertThat(findName(table, "a.example", "/ab/")).contains("all");
+        assertThat(findName(table, "b.example", "/a/")).isEmpty();
     }
 
     @Test
     void prefixEndsAtASlash() {
         RouteTable table = table(route("a", "/a/", 1));
-        assertThat(named(table, "a.example", "/a")).isEmpty();
-        assertThat(named(table, "a.example", "/a?x=/a/")).isEmpty();
-        assertThat(named(table, "a.example", "/a/")).contains("a");
+        assertThat(findName(table, "a.example", "/a")).isEmpty();
+        assertThat(findName(table, "a.example", "/a?x=/a/")).isEmpty();
+        assertThat(findName(table, "a.example", "/a/")).contains("a");
     }
 
     @Test
-    void splitGivesEachServiceItsShare() {
+    void splitSharesRequestsByWeight() {
         ServiceName other = new ServiceName("other");
         Route route =
                 route("a", "/a/", List.of(new Route.Share(PLAIN, 90), new Route.Share(other, 10)));
         long others = 0;
         for (int ticket = 0; ticket < 1000; ticket++) {
-            others += route.service(ticket).equals(other) ? 1 : 0;
+            others += route.chooseService(ticket).equals(other) ? 1 : 0;
         }
         assertThat(others).isEqualTo(100);
     }
 
     @Test
-    void everythingThatIsWrongIsFoundTogether() {
+    void checkerReportsAllFindings() {
         Route unknown = route("u", "/u/", List.of(new Route.Share(new ServiceName("nobody"), 1)));
         RouteTable table =
                 table(route("a", "/a/", 1), route("b", "/a/", 1), route("w", "/w/", 0), unknown);
@@ -55,7 +55,7 @@
                 .containsExactly("route b", "route w", "route u");
     }
 
-    private static Optional<String> named(RouteTable table, String host, String target) {
+    private static Optional<String> findName(RouteTable table, String host, String target) {
         return table.find(host, target).map(Route::name);
     }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/routing/RouterTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/routing/RouterTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void ownDispatchesCorrectAReportThatLags() {
+    void ownDispatchesCorrectAStaleReport() {
         router.announced(Announcements.engine("a", 1, "m", 8, 0), now);
         router.announced(Announcements.engine("b", 1, "m", 8, 0), now);
         now += 10 * SECOND;
@@ -45,15 +45,15 @@
     }
 
     @Test
-    void failingUpstreamIsEjectedAndComesBackByOneProbe() {
+    void failingUpstreamIsEjectedAndReadmittedByOneProbe() {
         router.announced(Announcements.engine("a", 1, "m", 8, 0), now);
-        end(Ending.FAILED, 3);
+        end(AttemptResult.FAILED, 3);
         assertThat(choose()).isEmpty();
         now += 3 * SECOND;
         UpstreamId probe = choose().orElseThrow();
         router.sent(probe);
         assertThat(choose()).as("one probe at a time").isEmpty();
-        router.ended(probe, Ending.SERVED, now);
+        router.ended(probe, AttemptResult.SERVED, now);
         assertThat(choose()).isPresent();
     }
 
@@ -61,17 +61,17 @@
     void upstreamThatDeclinesItsProbeIsNotEjectedForEver() {
         router.announced(Announcements.engine("a", 1, "m", 8, 5), now);
         now += 10 * SECOND;
-        end(Ending.FAILED, 3);
+        end(AttemptResult.FAILED, 3);
         now += 3 * SECOND;
         UpstreamId probe = choose().orElseThrow();
         router.sent(probe);
-        router.ended(probe, Ending.OVERLOADED, now);
+        router.ended(probe, AttemptResult.OVERLOADED, now);
         router.announced(Announcements.engine("a", 2, "m", 8, 0), now);
         assertThat(choose()).isPresent();
     }
 
     @Test
-    void shareOfTheLimitIsKeptForUrgentRequests() {
+    void shareOfTheLimitIsReservedForUrgentRequests() {
         router.announced(Announcements.engine("a", 1, "m", 8, 6), now);
         now += 10 * SECOND;
         assertThat(choose(Priority.NORMAL, Reach.ALL_ZONES)).isEmpty();
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void newUpstreamIsNotFloodedAtOnce() {
+    void newUpstreamStartsSlowly() {
         router.announced(Announcements.engine("a", 1, "m", 100, 0), now);
         int sent = 0;
         while (choose().isPresent()) {
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void upstreamsThatFailedARequestLeaveItToAnotherZone() {
+    void requestThatFailedInThisZoneGoesToAnotherZone() {
         router.announced(Announcements.engine("here", 1, "m", 8, 0), now);
         router.neighbourAnnounced(Announcements.engine("host/there", 1, "m", 8, 0), now);
         List<UpstreamId> failed = List.of(new UpstreamId("here"));
@@ -112,20 +112,20 @@
     }
 
     @Test
-    void requestThatWasPassedOnOnceStaysInItsZone() {
+    void forwardedRequestStaysInItsZone() {
         router.neighbourAnnounced(Announcements.engine("host/there", 1, "m", 8, 0), now);
         assertThat(choose(Priority.URGENT, Reach.ZONE)).isEmpty();
     }
 
     @Test
-    void zoneWithoutEnginesLeavesTheLoadingToAnother() {
+    void zoneWithoutEnginesForwardsRequestsToLoadAModel() {
         router.neighbourAnnounced(Announcements.engine("host/there", 1, "x", 8, 0), now);
         assertThat(choose()).contains(new UpstreamId("host/there"));
         router.announced(Announcements.engine("here", 1, "y", 8, 0), now);
         assertThat(choose()).as("it is loaded here").isEmpty();
     }
 
-    private void end(Ending ending, int times) {
+    private void end(AttemptResult ending, int times) {
         for (int at = 0; at < times; at++) {
             UpstreamId chosen = choose().orElseThrow();
             router.sent(chosen);
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/Claims.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/Claims.java
@@ -2,8 +2,8 @@
 
 import io.stackhall.core.id.AttemptToken;
 import io.stackhall.core.outcome.ClaimCommand;
-import io.stackhall.core.outcome.ClaimHomes;
 import io.stackhall.core.outcome.ClaimKey;
+import io.stackhall.core.outcome.ClaimPlacement;
 import io.stackhall.core.outcome.ClaimResult;
 import io.stackhall.server.group.CommandOutcome;
 import io.stackhall.server.group.GroupClient;
@@ -25,13 +25,13 @@
     private static final Duration END_TIMEOUT = Duration.ofSeconds(10);
 
     private final GroupClient groups;
-    private final ClaimHomes homes;
+    private final ClaimPlacement homes;
     private final String tokenPrefix;
     private final AtomicLong nextToken = new AtomicLong();
 
     Claims(Settings settings, GroupClient groups, long process) {
         this.groups = groups;
-        this.homes = new ClaimHomes(settings.zones());
+        this.homes = new ClaimPlacement(settings.zones());
         this.tokenPrefix = settings.host() + "/" + Long.toHexString(process) + "/";
     }
 
@@ -58,7 +58,7 @@
     }
 
     private ClaimResult send(ClaimKey key, ClaimCommand command, Duration timeout) {
-        String group = Settings.zoneGroup(homes.homeOf(key.key()));
+        String group = Settings.zoneGroup(homes.zoneOf(key.key()));
         byte[] bytes = Json.write(ZoneCommand.class, new ZoneCommand.ChangeClaims(command));
         return switch (groups.command(group, bytes, timeout)) {
             case CommandOutcome.Done(byte[] result) -> decode(result);
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/Exchange.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/Exchange.java
@@ -2,7 +2,7 @@
 
 import io.stackhall.core.admission.Arrival;
 import io.stackhall.core.outcome.RequestOutcome;
-import io.stackhall.core.routing.Ending;
+import io.stackhall.core.routing.AttemptResult;
 import io.stackhall.server.clock.BootClock;
 import io.stackhall.server.node.TrafficDriver;
 import io.stackhall.server.upstreams.UpstreamCall;
@@ -74,7 +74,7 @@
                         case Attempt.Ended(ExchangeResult result) -> {
                             return result;
                         }
-                        case Attempt.Failed(Ending ending, RequestOutcome outcome) ->
+                        case Attempt.Failed(AttemptResult ending, RequestOutcome outcome) ->
                                 decision = traffic.failed(arrival.id(), ending, outcome);
                     }
                 }
@@ -88,7 +88,7 @@
         record Ended(ExchangeResult result) implements Attempt {}
 
         /** Nothing has reached the caller; it may be tried again. */
-        record Failed(Ending ending, RequestOutcome outcome) implements Attempt {}
+        record Failed(AttemptResult ending, RequestOutcome outcome) implements Attempt {}
     }
 
     private Attempt attempt(TrafficDriver.Decision.Send send, AnswerSink sink) {
@@ -97,14 +97,14 @@
                 upstreams.call(address, request.towards(send.upstream(), remainingMillis()));
         return switch (call.open(patienceMillis())) {
             case UpstreamCall.Opening.NotSent(String reason) ->
-                    new Attempt.Failed(Ending.FAILED, new RequestOutcome.NotRun(reason));
+                    new Attempt.Failed(AttemptResult.FAILED, new RequestOutcome.NotRun(reason));
             case UpstreamCall.Opening.Declined() ->
                     new Attempt.Failed(
-                            Ending.OVERLOADED,
+                            AttemptResult.OVERLOADED,
                             new RequestOutcome.NotRun("the upstream declined it"));
             case UpstreamCall.Opening.Unanswered(String reason) -> {
                 logger.info("attempt.unanswered request={} {}", arrival.id(), reason);
-                yield new Attempt.Failed(Ending.FAILED, new RequestOutcome.Unknown(reason));
+                yield new Attempt.Failed(AttemptResult.FAILED, new RequestOutcome.Unknown(reason));
             }
             case UpstreamCall.Opening.Begun begun -> deliver(call, address, begun, sink);
         };
@@ -131,13 +131,14 @@
             body = in.readNBytes(maxAnswerBytes + 1);
         } catch (IOException e) {
             String reason = "the answer was cut short: " + e.getMessage();
-            return new Attempt.Failed(Ending.FAILED, new RequestOutcome.Unknown(reason));
+            return new Attempt.Failed(AttemptResult.FAILED, new RequestOutcome.Unknown(reason));
         }
         if (body.length > maxAnswerBytes) {
             return broken("the answer is larger than " + maxAnswerBytes + " bytes");
         }
         toCaller(() -> sink.whole(begun.status(), begun.contentType(), body));
-        Ending ending = begun.status() >= SERVER_ERROR ? Ending.FAILED : Ending.SERVED;
+        AttemptResult ending =
+                begun.status() >= SERVER_ERROR ? AttemptResult.FAILED : AttemptResult.SERVED;
         return answered(begun.status(), ending);
     }
 
@@ -151,7 +152,7 @@
         while (true) {
             boolean ended = copy(body, tail, sink);
             if (ended && tail.whole()) {
-                return answered(begun.status(), Ending.SERVED);
+                return answered(begun.status(), AttemptResult.SERVED);
             }
             InputStream rest = resumed.from(tail.length());
             if (rest == null) {
@@ -182,7 +183,7 @@
         }
     }
 
-    private Attempt answered(int status, Ending ending) {
+    private Attempt answered(int status, AttemptResult ending) {
         RequestOutcome outcome = new RequestOutcome.Ran();
         traffic.ended(arrival.id(), ending, outcome);
         return new Attempt.Ended(new ExchangeResult.Answered(status, outcome));
@@ -190,7 +191,7 @@
 
     private Attempt broken(String reason) {
         RequestOutcome outcome = new RequestOutcome.Unknown(reason);
-        traffic.ended(arrival.id(), Ending.FAILED, outcome);
+        traffic.ended(arrival.id(), AttemptResult.FAILED, outcome);
         return new Attempt.Ended(new ExchangeResult.Broken(reason, outcome));
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/Gateway.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/Gateway.java
@@ -106,8 +106,8 @@
             service.engine().ifPresent(engine -> engines.put(service.name(), engine));
         }
         dispatcher.engines(engines);
-        dispatcher.objectives(next.shortestObjectives());
-        dispatcher.coldPerSecond(next.coldPerSecond());
+        dispatcher.objectives(next.shortestLatencyObjectives());
+        dispatcher.coldPerSecond(next.coldRequestRates());
         customers.customers(next.customers());
         firstRoutes.release();
         serveWaiting();
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RelayedRequest.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RelayedRequest.java
@@ -79,7 +79,7 @@
             return;
         }
         log.customer(rights.customer());
-        need = request.need(route.service(gateway.ticket()), rights.rank());
+        need = request.need(route.chooseService(gateway.ticket()), rights.rank());
         last.about(need);
         admission = newAdmission();
         gateway.arrived(need);
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestTimes.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestTimes.java
@@ -40,7 +40,7 @@
     Duration left(long now) {
         return late(now)
                 ? Duration.ZERO
-                : Duration.ofNanos(arrivedAt + route.objective().toNanos() - now);
+                : Duration.ofNanos(arrivedAt + route.latencyObjective().toNanos() - now);
     }
 
     /**
@@ -52,7 +52,7 @@
     }
 
     private long inTimeUntil() {
-        long objective = route.objective().toNanos();
+        long objective = route.latencyObjective().toNanos();
         return arrivedAt + objective - objective / LEAST_ANSWER_SHARE;
     }
 
@@ -64,7 +64,7 @@
      */
     Admission admission(long lastEventAt) {
         boolean stream = route.kind() == RouteKind.STREAM;
-        long leaves = lastEventAt + route.callerPatience().toNanos();
+        long leaves = lastEventAt + route.callerTimeout().toNanos();
         long end = stream && leaves - deadlineAt < 0 ? leaves : deadlineAt;
         long latest = end - (stream ? LEAST_STREAM_TIME : LEAST_PLAIN_TIME).toNanos();
         return new Admission(latest, inTimeUntil());
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RoutesFollower.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RoutesFollower.java
@@ -3,7 +3,7 @@
 import io.netty.channel.EventLoop;
 import io.stackhall.core.config.Finding;
 import io.stackhall.core.route.RouteTable;
-import io.stackhall.core.route.RoutesTrust;
+import io.stackhall.core.route.RoutesConfirmation;
 import io.stackhall.platform.ConfigurationDecoder;
 import io.stackhall.rpc.generated.fleet.RoutesUpdate;
 import io.stackhall.server.clock.BootClock;
@@ -35,7 +35,7 @@
     private final EventLoop loop;
     private final Gateway gateway;
     private final Runnable askForRoutes;
-    private final RoutesTrust trust = new RoutesTrust(PATIENCE);
+    private final RoutesConfirmation trust = new RoutesConfirmation(PATIENCE);
     private byte[] body = new byte[0];
     private boolean awaiting;
     private boolean obeying;
@@ -64,7 +64,7 @@
     /** Takes in what a control host tells. */
     void told(RoutesUpdate update) {
         long now = BootClock.nanos();
-        trust.heard(update.getVersion(), now);
+        trust.reported(update.getVersion(), now);
         if (update.getVersion() > trust.held()) {
             take(update, now);
         }
@@ -81,13 +81,13 @@
     /** Puts the configuration that is held into force if it may be obeyed by now. */
     void obey() {
         obeying = false;
-        if (!trust.mayObey(inForce(), BootClock.nanos())) {
+        if (!trust.mayActivate(inForce(), BootClock.nanos())) {
             return;
         }
         logger.info(
                 "routes.obeyed version={} heard={} confirmed={}",
                 trust.held(),
-                trust.heard(),
+                trust.reported(),
                 trust.confirmed());
         Either<Finding, RouteTable> decoded = ConfigurationDecoder.decode(body);
         decoded.peek(gateway::routes)
@@ -130,7 +130,7 @@
         }
         try {
             body = RoutesCodec.body(update);
-            trust.holds(update.getVersion(), now);
+            trust.received(update.getVersion(), now);
         } catch (IOException e) {
             logger.error("routes.unreadable version={} {}", update.getVersion(), e.toString());
         }
@@ -139,7 +139,7 @@
     private void expectRoutes() {
         if (!awaiting) {
             awaiting = true;
-            long awaited = trust.heard();
+            long awaited = trust.reported();
             loop.schedule(() -> overdue(awaited), OVERDUE_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/group/ZoneState.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/group/ZoneState.java
@@ -50,7 +50,7 @@
     @Override
     public void reformed(boolean memoryLost) {
         if (memoryLost) {
-            claims.loseMemory();
+            claims.markMemoryLost();
         }
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/node/TrafficDriver.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/TrafficDriver.java
@@ -3,16 +3,16 @@
 import io.stackhall.core.admission.AdmissionSettings;
 import io.stackhall.core.admission.Arrival;
 import io.stackhall.core.admission.Refusal;
-import io.stackhall.core.admission.TrafficDirector;
 import io.stackhall.core.admission.TrafficEffect;
 import io.stackhall.core.admission.TrafficEvent;
+import io.stackhall.core.admission.TrafficScheduler;
 import io.stackhall.core.config.Configuration;
 import io.stackhall.core.id.ModelId;
 import io.stackhall.core.id.RequestId;
 import io.stackhall.core.id.UpstreamId;
 import io.stackhall.core.membership.Announcement;
 import io.stackhall.core.outcome.RequestOutcome;
-import io.stackhall.core.routing.Ending;
+import io.stackhall.core.routing.AttemptResult;
 import io.stackhall.core.routing.Router;
 import io.stackhall.core.routing.RoutingSettings;
 import io.stackhall.server.clock.BootClock;
@@ -30,7 +30,7 @@
 
     private static final long TICK_MILLIS = 20;
 
-    private final TrafficDirector director;
+    private final TrafficScheduler director;
     private final Map<RequestId, CompletableFuture<Decision>> awaited = new HashMap<>();
     private final AtomicInteger inFlight = new AtomicInteger();
     private final ScheduledExecutorService thread =
@@ -46,7 +46,7 @@
                         standard.retryShare(),
                         standard.maxAttempts());
         this.director =
-                new TrafficDirector(settings, new Router(RoutingSettings.standard(), random));
+                new TrafficScheduler(settings, new Router(RoutingSettings.standard(), random));
     }
 
     /** What was decided for a request. */
@@ -87,17 +87,18 @@
     }
 
     /** Tells that an attempt served its request, or that nothing more can be done for it. */
-    public void ended(RequestId id, Ending ending, RequestOutcome outcome) {
-        thread.execute(() -> step(new TrafficEvent.Ended(id, ending, outcome, true)));
+    public void ended(RequestId id, AttemptResult ending, RequestOutcome outcome) {
+        thread.execute(() -> step(new TrafficEvent.AttemptEnded(id, ending, outcome, true)));
     }
 
     /** Tells that an attempt failed before anything reached the caller, and asks what now. */
-    public CompletableFuture<Decision> failed(RequestId id, Ending ending, RequestOutcome why) {
+    public CompletableFuture<Decision> failed(
+            RequestId id, AttemptResult ending, RequestOutcome why) {
         CompletableFuture<Decision> decision = new CompletableFuture<>();
         thread.execute(
                 () -> {
                     awaited.put(id, decision);
-                    step(new TrafficEvent.Ended(id, ending, why, false));
+                    step(new TrafficEvent.AttemptEnded(id, ending, why, false));
                 });
         return decision;
     }
--- a/stackhall-server/src/test/java/io/stackhall/server/bench/CapacityBenchmark.java
+++ b/stackhall-server/src/test/java/io/stackhall/server/bench/CapacityBenchmark.java
@@ -5,8 +5,8 @@
 import com.google.protobuf.ByteString;
 import io.stackhall.core.admission.AdmissionSettings;
 import io.stackhall.core.admission.Arrival;
-import io.stackhall.core.admission.TrafficDirector;
 import io.stackhall.core.admission.TrafficEvent;
+import io.stackhall.core.admission.TrafficScheduler;
 import io.stackhall.core.config.Change;
 import io.stackhall.core.config.ConfigRegister;
 import io.stackhall.core.config.Configuration;
@@ -24,7 +24,7 @@
 import io.stackhall.core.placement.PlacementSettings;
 import io.stackhall.core.replication.Entry;
 import io.stackhall.core.replication.Payload;
-import io.stackhall.core.routing.Ending;
+import io.stackhall.core.routing.AttemptResult;
 import io.stackhall.core.routing.Reach;
 import io.stackhall.core.routing.Router;
 import io.stackhall.core.routing.RoutingRequest;
@@ -196,7 +196,7 @@
                                 UpstreamId chosen =
                                         router.choose(requests[at % 240], later).orElseThrow();
                                 router.sent(chosen);
-                                router.ended(chosen, Ending.SERVED, later);
+                                router.ended(chosen, AttemptResult.SERVED, later);
                             }));
             print(
                     "placement decision of a zone, microseconds",
@@ -208,8 +208,8 @@
     @Test
     void queuedRequests() {
         for (int count : new int[] {1000, 10_000, 50_000}) {
-            TrafficDirector director =
-                    new TrafficDirector(
+            TrafficScheduler director =
+                    new TrafficScheduler(
                             new AdmissionSettings(1_000_000, 1_000_000, 0.1, 3),
                             new Router(RoutingSettings.standard(), new Random(1)));
             long before = usedHeap();
