--- a/stackhall-core/src/main/java/io/stackhall/core/customer/AllowanceVerdict.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/AllowanceVerdict.java
@@ -2,16 +2,16 @@
 
 import java.time.Duration;
 
-/** Whether a request may be run within its customer's limit. */
+/** Whether a request may run within its customer's limit. */
 public sealed interface AllowanceVerdict {
 
-    /** It may, and its cost is taken from the customer's allowance. */
+    /** It may run, and its cost has been taken from the customer's allowance. */
     record Granted() implements AllowanceVerdict {}
 
     /**
-     * It may not.
+     * It may not run.
      *
-     * @param retryAfter when the customer's allowance is expected to have room for it
+     * @param retryAfter when the customer's allowance is expected to have capacity for it
      */
     record Denied(Duration retryAfter) implements AllowanceVerdict {}
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/customer/Customer.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/Customer.java
@@ -6,17 +6,17 @@
 import java.util.Set;
 
 /**
- * Whoever holds keys to send requests with, and the rights of these.
+ * A holder of keys that authorize requests, with its priority and limit.
  *
  * @param id its name
  * @param keys the digests of its keys
- * @param rank how urgent its requests are, 0 first; where it is empty, their routes say
- * @param limit how much it may have run, if that is bounded
+ * @param rank the priority of its requests, 0 is the highest; if empty, the route's rank applies
+ * @param limit its limit, if it has one
  */
 public record Customer(
         CustomerId id, Set<KeyDigest> keys, OptionalInt rank, Optional<CustomerLimit> limit) {
 
-    /** Engines know ten ranks: three for the routes of each of the most urgent customers' ranks. */
+    /** Engines distinguish ten ranks: three route ranks for each of the highest customer ranks. */
     private static final int ROUTE_RANKS = 3;
 
     /** Copies the keys. */
@@ -24,7 +24,10 @@
         keys = Set.copyOf(keys);
     }
 
-    /** Returns the rank of its request on a route: by its own rank first, then by the route's. */
+    /**
+     * Returns the rank of its request on a route: ordered by its own rank first, then by the
+     * route's.
+     */
     public int combinedRank(int routeRank) {
         if (rank.isEmpty()) {
             return routeRank;
--- a/stackhall-core/src/main/java/io/stackhall/core/customer/CustomerAllowance.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/CustomerAllowance.java
@@ -3,36 +3,36 @@
 import java.time.Duration;
 
 /**
- * What one customer may still have run, as its one keeper counts it for all hosts: a token bucket
- * that may be overdrawn by one request.
+ * The allowance of one customer over all hosts: a token bucket that may be overdrawn by one
+ * request.
  *
- * <p>Over any window of W seconds it grants no more than {@code perSecond x W + burst}, and beside
- * that the cost of one request. Moments are in nanoseconds.
+ * <p>Over any window of W seconds it grants no more than {@code perSecond x W + burst} plus the
+ * cost of one request. Moments are in nanoseconds.
  */
 final class CustomerAllowance {
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Nobody is told to come back later than this: by then the limit itself may have changed. */
+    /** Denials name no later time than this, by which the limit itself may have changed. */
     private static final double MAX_RETRY_AFTER_SECONDS = 10;
 
     private CustomerLimit limit;
     private double level;
     private long refilledAt;
 
-    /** What those that were refused are expected to take when they come back, in units. */
+    /** The cost of denied requests that are expected to be retried, in units of the limit. */
     private double expectedRetryCost;
 
     /**
-     * Creates an allowance that has to grow first: what was granted before by another keeper, or by
-     * an earlier life of this one, is not known.
+     * Creates an allowance that starts empty, since what an earlier leader or an earlier
+     * incarnation of this one has granted is not known.
      */
     CustomerAllowance(CustomerLimit limit, long now) {
         this.limit = limit;
         this.refilledAt = now;
     }
 
-    /** Puts another limit into force; what a lower burst does not hold is lost. */
+    /** Replaces the limit; tokens beyond a lower burst are lost. */
     void limit(CustomerLimit next, long now) {
         refill(now);
         limit = next;
@@ -43,7 +43,10 @@
         return limit;
     }
 
-    /** Takes the cost of a request, if the allowance is not overdrawn. */
+    /**
+     * Takes the cost of a request, if the allowance is not overdrawn. Denied requests get
+     * increasing retry times, so that they do not all return at once.
+     */
     AllowanceVerdict take(double cost, long now) {
         refill(now);
         if (level >= 0) {
@@ -58,7 +61,7 @@
                 Duration.ofNanos(Math.round(seconds * NANOS_PER_SECOND)));
     }
 
-    /** Takes back the cost of a request that was granted and has not run. */
+    /** Refunds the cost of a request that was granted and has not run. */
     void refund(double cost, long now) {
         refill(now);
         level = Math.min(limit.burst(), level + cost);
--- a/stackhall-core/src/main/java/io/stackhall/core/customer/CustomerLimit.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/CustomerLimit.java
@@ -1,12 +1,12 @@
 package io.stackhall.core.customer;
 
 /**
- * How much a customer may have run over all hosts together.
+ * The limit of a customer's requests over all hosts together.
  *
  * @param unit what is counted
- * @param perSecond what may be run in each second, in units
- * @param burst what may be run beside in a moment, in units
- * @param plainCost the cost of a request that does not tell its tokens, in units
+ * @param perSecond the sustained rate, in units per second
+ * @param burst what may run in addition at one moment, in units
+ * @param plainCost the cost of a request that does not state its tokens, in units
  */
 public record CustomerLimit(Unit unit, double perSecond, double burst, double plainCost) {
 
@@ -14,11 +14,11 @@
     public enum Unit {
         /** Each request costs one. */
         REQUESTS,
-        /** A request costs the tokens of its prompt and the most tokens of its answer. */
+        /** A request costs the tokens of its prompt plus the maximum tokens of its answer. */
         TOKENS
     }
 
-    /** Checks the figures. */
+    /** Checks the ranges. */
     public CustomerLimit {
         if (!(perSecond > 0) || Double.isInfinite(perSecond)) {
             throw new IllegalArgumentException("perSecond is " + perSecond);
@@ -32,9 +32,10 @@
     }
 
     /**
-     * Returns what a request costs, in units.
+     * Returns the cost of a request, in units.
      *
-     * @param tokens the tokens of its prompt and the most of its answer, 0 where it does not tell
+     * @param tokens the tokens of its prompt plus the maximum of its answer, 0 if it does not state
+     *     them
      */
     public double cost(int tokens) {
         return switch (unit) {
--- a/stackhall-core/src/main/java/io/stackhall/core/customer/Customers.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/Customers.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The customers of one configuration, found by name or by key. */
+/** The customers of one configuration, indexed by name and by key. */
 public final class Customers {
 
     private static final Customers UNRESTRICTED = new Customers(List.of(), false);
@@ -17,13 +17,13 @@
     private final Map<CustomerId, Customer> byId = new HashMap<>();
     private final Map<KeyDigest, Customer> byKey = new HashMap<>();
 
-    /** Creates the customers; a key that two of them share names the last one. */
+    /** Creates the customers; a key that several of them share identifies the last one. */
     public Customers(Collection<Customer> customers) {
         this(customers, true);
     }
 
-    private Customers(Collection<Customer> customers, boolean keysNeeded) {
-        this.keysRequired = keysNeeded;
+    private Customers(Collection<Customer> customers, boolean keysRequired) {
+        this.keysRequired = keysRequired;
         all = List.copyOf(customers);
         for (Customer customer : all) {
             byId.put(customer.id(), customer);
@@ -31,22 +31,22 @@
         }
     }
 
-    /** Returns the customers of a configuration that speaks of none: everybody may send. */
+    /** Returns the customers of a configuration without a customer list: requests need no key. */
     public static Customers unrestricted() {
         return UNRESTRICTED;
     }
 
-    /** Returns whether requests need a customer's key; where a list is empty, nobody has one. */
+    /** Returns whether requests need a customer's key; with an empty list no key is valid. */
     public boolean keysRequired() {
         return keysRequired;
     }
 
-    /** Returns all, in the order in which they were named. */
+    /** Returns all customers, in the order of the configuration. */
     public List<Customer> all() {
         return all;
     }
 
-    /** Returns the customer of that name. */
+    /** Returns the customer with a name. */
     public Optional<Customer> findById(CustomerId id) {
         return Optional.ofNullable(byId.get(id));
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/customer/CustomersChecker.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/CustomersChecker.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Finds everything that is wrong with the customers of a configuration. No finding tells a key. */
+/** Finds all errors in the customers of a configuration. Findings contain no keys. */
 public final class CustomersChecker {
 
     private CustomersChecker() {}
 
-    /** Returns what is wrong, each with the customer concerned. */
+    /** Returns the findings, each with the customer concerned. */
     public static List<Finding> check(Customers customers) {
         List<Finding> findings = new ArrayList<>();
         Set<CustomerId> names = new HashSet<>();
--- a/stackhall-core/src/main/java/io/stackhall/core/customer/KeyAccess.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/KeyAccess.java
@@ -2,34 +2,34 @@
 
 import java.util.List;
 
-/** Judges whose request one is by the key that it carries. */
+/** Authenticates requests by the keys that they carry. */
 public final class KeyAccess {
 
     private KeyAccess() {}
 
-    /** Whose request one is. */
+    /** The result of authenticating a request. */
     public sealed interface Verdict {
 
-        /** Nobody's in particular: it needs no key. */
+        /** It needs no key and is not attributed to a customer. */
         record Anyone() implements Verdict {}
 
-        /** A customer's. */
+        /** It carries a customer's key. */
         record Of(Customer customer) implements Verdict {}
 
-        /** It may not be run. */
+        /** It is refused. */
         record Unknown(String reason) implements Verdict {}
 
-        /** This host cannot tell now whether its key still holds. */
+        /** This host cannot determine whether the request's key is still valid. */
         record Uncertain() implements Verdict {}
     }
 
     /**
-     * Judges. A route that is open to everybody needs no key, but a good one is a customer's there
-     * as well.
+     * Authenticates a request. An open route requires no key, but a valid one still attributes the
+     * request to its customer.
      *
-     * @param open whether the request's route is open to everybody
+     * @param open whether the request's route requires no key
      * @param keys the keys that the request carries
-     * @param trusted whether the host may rely on the keys that it knows
+     * @param trusted whether this host's knowledge of keys is valid, see {@link KeyLease}
      */
     public static Verdict authenticate(
             Customers customers, boolean open, List<KeyDigest> keys, boolean trusted) {
--- a/stackhall-core/src/main/java/io/stackhall/core/customer/KeyDigest.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/KeyDigest.java
@@ -6,10 +6,10 @@
 import java.util.HexFormat;
 
 /**
- * The SHA-256 digest of a customer's key, by which hosts know the key without keeping it.
+ * The SHA-256 digest of a customer's key, by which hosts recognize the key without storing it.
  *
- * <p>Two digests are compared in constant time, so that nobody learns a key by the time that a
- * wrong one takes.
+ * <p>Digests are compared in constant time, so that the time of a comparison reveals nothing about
+ * a key.
  */
 public final class KeyDigest {
 
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Returns a digest that is told as text.
+     * Parses a digest.
      *
      * @throws IllegalArgumentException if the text is not hexadecimal
      */
--- a/stackhall-core/src/main/java/io/stackhall/core/customer/KeyLease.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/KeyLease.java
@@ -4,19 +4,22 @@
 import java.util.Optional;
 
 /**
- * Whether a host may rely on the keys that it knows.
+ * Limits how long a host may rely on the keys that it knows.
  *
- * <p>A key that a configuration takes away has to end on every host within a fixed time, also on
- * one that no word of the change reaches. So keys are leased: each time a quorum confirms that the
- * host's configuration is the newest, its keys hold for a while from the moment at which it asked.
- * A change that was acknowledged later than that moment finds the lease over in time; one that was
- * acknowledged before would have been told with the confirmation.
+ * <p>A key that a configuration removes has to become invalid on every host within a fixed time,
+ * also on one that no notice of the change reaches. Keys are therefore leased: each time a quorum
+ * confirms that the host's configuration is the newest, its keys are valid for a fixed duration
+ * from the moment at which the host asked. A change acknowledged after that moment finds the lease
+ * expired in time; one acknowledged before would have been sent with the confirmation.
  *
- * <p>Moments are of a clock that goes on while the machine is suspended, in nanoseconds.
+ * <p>Moments are in nanoseconds, of a clock that keeps running while the machine is suspended.
  */
 public final class KeyLease {
 
-    /** The rest is for a request that is judged just before its lease ends and sent after. */
+    /**
+     * The remainder covers a request that is authenticated just before the lease expires and sent
+     * after.
+     */
     private static final int LEASE_PERCENT = 80;
 
     private static final int PERCENT = 100;
@@ -26,19 +29,20 @@
     private long renewedAt;
 
     /**
-     * Creates the trust of a host that has not been confirmed yet.
+     * Creates a lease that has not been confirmed yet.
      *
-     * @param revocation within which time after its acknowledgement a change that takes a key away
-     *     holds on every host; empty where hosts that no word reaches may go on
+     * @param revocation the time after its acknowledgement within which the removal of a key
+     *     applies on every host; if empty, hosts that are cut off may rely on their keys without
+     *     limit
      */
     public KeyLease(Optional<Duration> revocation) {
         this.duration = revocation.map(time -> time.multipliedBy(LEASE_PERCENT).dividedBy(PERCENT));
     }
 
     /**
-     * Notes that a quorum has confirmed the configuration that this host has in force.
+     * Renews the lease after a quorum has confirmed this host's configuration as the newest.
      *
-     * @param asked when the host asked for it
+     * @param asked when the host asked for the confirmation
      */
     public void renew(long asked) {
         if (!renew || asked - renewedAt > 0) {
@@ -52,7 +56,7 @@
         return duration.isEmpty() || (renew && age(now).compareTo(duration.get()) < 0);
     }
 
-    /** Returns how long ago the host asked for the last confirmation that it got. */
+    /** Returns the time since the host asked for the last confirmation that it received. */
     public Duration age(long now) {
         return Duration.ofNanos(now - renewedAt);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/customer/OutageAllowance.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/OutageAllowance.java
@@ -7,19 +7,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What one host lets customers run while nobody answers who could grant it: its fixed share of what
- * the hosts together may run beyond the limits, so that they need not agree.
+ * What one host grants customers while it cannot reach the leader of the control group: its fixed
+ * share of the excess over the limits that is allowed to all hosts, which needs no coordination.
  *
- * <p>The load that it answers: the leader of the control group is lost for a second or two while
- * customers stay below their limits. A share may be less than one request; then it is a chance of
- * running one. Moments are in nanoseconds.
+ * <p>Load pattern: the leader of the control group is lost for a second or two while customers stay
+ * below their limits. If a share is less than one request, it is used as the probability of running
+ * one. Moments are in nanoseconds.
  */
 public final class OutageAllowance {
 
-    /** The rest stays free for the one request by which the keeper may overdraw a limit. */
+    /** The remainder is reserved for the one request by which the leader may overdraw a limit. */
     private static final double USED_SHARE = 0.5;
 
-    /** By then the control group has usually elected its next leader. */
+    /** By then the control group has usually elected a new leader. */
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final LimitTolerance tolerance;
@@ -35,34 +35,35 @@
             refilledAt = now;
         }
 
-        private void refill(double most, long windowNanos, long now) {
-            double grown = most * (now - refilledAt) / windowNanos;
-            level = Math.min(most, level + Math.max(0, grown));
+        private void refill(double max, long windowNanos, long now) {
+            double grown = max * (now - refilledAt) / windowNanos;
+            level = Math.min(max, level + Math.max(0, grown));
             refilledAt = now;
         }
     }
 
-    /** Creates the allowance of a host that has just started: it has to grow first. */
+    /** Creates the allowance of a host that has just started; shares start empty. */
     public OutageAllowance(LimitTolerance tolerance, RandomGenerator random) {
         this.tolerance = tolerance;
         this.random = random;
     }
 
-    /** Notes a customer, whose share grows from now on. */
+    /** Adds a customer, whose share grows from now on. */
     public void addCustomer(CustomerId customer, long now) {
         shares.computeIfAbsent(customer, ignored -> new Share(now));
     }
 
     /**
-     * Decides about a request while nobody grants.
+     * Decides about a request while the leader cannot be reached.
      *
-     * @param hosts how many hosts share what may be run beyond the limit
+     * @param cost the cost in units of the limit
+     * @param hosts the number of hosts that share the allowed excess
      */
     public AllowanceVerdict take(
             CustomerId customer, CustomerLimit limit, double cost, int hosts, long now) {
         Share share = shares.computeIfAbsent(customer, ignored -> new Share(now));
-        double most = USED_SHARE * tolerance.allowedExcess(limit) / Math.max(1, hosts);
-        share.refill(most, tolerance.window().toNanos(), now);
+        double max = USED_SHARE * tolerance.allowedExcess(limit) / Math.max(1, hosts);
+        share.refill(max, tolerance.window().toNanos(), now);
         if (cost <= 0) {
             return new AllowanceVerdict.Granted();
         }
--- a/stackhall-core/src/test/java/io/stackhall/core/customer/CustomerAllowanceTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/customer/CustomerAllowanceTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** What the one keeper of a limit grants. */
+/** Which requests the allowance of one customer grants. */
 class CustomerAllowanceTest {
 
     private static final CustomerLimit LIMIT =
--- a/stackhall-core/src/test/java/io/stackhall/core/customer/KeyAccessTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/customer/KeyAccessTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Whose request one is. */
+/** Which customer a request is attributed to. */
 class KeyAccessTest {
 
     private static final KeyDigest GOOD = KeyDigest.of("good");
--- a/stackhall-core/src/test/java/io/stackhall/core/customer/LimitSimulation.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/customer/LimitSimulation.java
@@ -12,9 +12,9 @@
 import java.util.Set;
 
 /**
- * Plays requests of many customers at many entry hosts against a way to keep their limits: sixteen
- * customers of different size at 0.55 of their limits each, and one of them, if wanted, at 4.2
- * times its limit. Times are in milliseconds.
+ * Simulates requests of many customers at many entry hosts with a strategy that enforces their
+ * limits: sixteen customers of different size at 0.55 of their limits each, and optionally one of
+ * them at 4.2 times its limit. Times are in milliseconds.
  */
 final class LimitSimulation {
 
@@ -35,15 +35,25 @@
     private int requestsBelowLimit;
     private int refusedBelowLimit;
 
-    /** What goes wrong. */
+    /**
+     * The faults of a run.
+     *
+     * @param overload whether one customer exceeds its limit
+     * @param leaderLostMillis how long no leader is reachable
+     * @param partitionMillis how long a third of the hosts is partitioned from the leader
+     */
     record Faults(boolean overload, long leaderLostMillis, long partitionMillis) {}
 
     /** Decides which requests run. */
     interface Strategy {
-        /** Returns whether a request is run at a host that reaches the leader or does not. */
+        /**
+         * Returns whether a request runs.
+         *
+         * @param reaches whether the host reaches the leader
+         */
         boolean admits(int host, int customer, double cost, boolean reaches, long now);
 
-        /** The leader is lost, or another begins. */
+        /** Called when a new leader has taken over. */
         default void leaderChanged(long now) {}
     }
 
@@ -51,24 +61,23 @@
     private record Run(long at, double cost) {}
 
     /**
-     * How one play ended.
+     * The result of a run.
      *
-     * @param worstBeyond the most by which what ran in a window exceeded what may run there, as a
-     *     share of it; negative where it never did
-     * @param refusedBelow the share of the requests of customers below their limits that was
-     *     refused
+     * @param worstExcess the largest excess of a window over what may run in it, as a share of
+     *     that; negative if no window exceeded it
+     * @param refusedShare the share of requests of customers below their limits that was refused
      */
     record Result(double worstExcess, double refusedShare) {}
 
-    LimitSimulation(long seed, Faults trouble) {
+    LimitSimulation(long seed, Faults faults) {
         this.random = new Random(seed);
-        this.faults = trouble;
+        this.faults = faults;
         for (int customer = 0; customer < CUSTOMERS; customer++) {
             windows.add(new ArrayDeque<>());
         }
     }
 
-    /** Returns the limit of a customer: a few are large, and most small. */
+    /** Returns the limit of a customer: a few are large, and most are small. */
     static CustomerLimit limit(int customer) {
         double perSecond = customer < 3 ? 200_000.0 / (customer + 1) : 4200 + 2000.0 * customer;
         return new CustomerLimit(CustomerLimit.Unit.TOKENS, perSecond, perSecond, 200);
@@ -91,20 +100,20 @@
         return new Customers(all);
     }
 
-    Result run(Strategy way) {
+    Result run(Strategy strategy) {
         long lostAt = 12_000;
         long cutAt = 10_000;
-        boolean leaderWas = true;
+        boolean hadLeader = true;
         for (long now = 0; now < DURATION; now++) {
             boolean leader = now < lostAt || now >= lostAt + faults.leaderLostMillis();
-            if (leader && !leaderWas) {
-                way.leaderChanged(now);
+            if (leader && !hadLeader) {
+                strategy.leaderChanged(now);
             }
-            leaderWas = leader;
-            long cutFor = now - cutAt;
-            boolean cut = cutFor >= 0 && cutFor < faults.partitionMillis();
+            hadLeader = leader;
+            long sinceCut = now - cutAt;
+            boolean partition = sinceCut >= 0 && sinceCut < faults.partitionMillis();
             for (int customer = 0; customer < CUSTOMERS; customer++) {
-                generate(way, customer, leader, cut, cutFor, now);
+                generate(strategy, customer, leader, partition, sinceCut, now);
             }
         }
         return new Result(
@@ -112,37 +121,43 @@
     }
 
     private void generate(
-            Strategy way, int customer, boolean leader, boolean cut, long cutFor, long now) {
-        boolean hot = faults.overload() && customer == 1 && now > 8000 && now < 20_000;
-        double perMilli = limit(customer).perSecond() * (hot ? OVERLOAD : NORMAL_LOAD) / 1000;
+            Strategy strategy,
+            int customer,
+            boolean leader,
+            boolean partition,
+            long sinceCut,
+            long now) {
+        boolean overloaded = faults.overload() && customer == 1 && now > 8000 && now < 20_000;
+        double perMilli =
+                limit(customer).perSecond() * (overloaded ? OVERLOAD : NORMAL_LOAD) / 1000;
         double requests = perMilli / 1300;
         while (requests > 0) {
             if (random.nextDouble() < requests) {
-                send(way, customer, hot, leader, cut, cutFor, now);
+                send(strategy, customer, overloaded, leader, partition, sinceCut, now);
             }
             requests -= 1;
         }
     }
 
     private void send(
-            Strategy way,
+            Strategy strategy,
             int customer,
-            boolean hot,
+            boolean overloaded,
             boolean leader,
-            boolean cut,
-            long cutFor,
+            boolean partition,
+            long sinceCut,
             long now) {
         int host = random.nextInt(HOSTS);
         double cost = random.nextBoolean() ? 200 : 1500 + random.nextInt(1800);
-        boolean apart = cut && host < HOSTS / 3;
-        if (apart && cutFor > KEY_LEASE) {
+        boolean partitioned = partition && host < HOSTS / 3;
+        if (partitioned && sinceCut > KEY_LEASE) {
             return;
         }
-        boolean admitted = way.admits(host, customer, cost, leader && !apart, now);
+        boolean admitted = strategy.admits(host, customer, cost, leader && !partitioned, now);
         if (admitted) {
             recordRun(customer, cost, now);
         }
-        if (!hot && !(faults.overload() && customer == 1)) {
+        if (!overloaded && !(faults.overload() && customer == 1)) {
             requestsBelowLimit++;
             refusedBelowLimit += admitted ? 0 : 1;
         }
@@ -157,7 +172,7 @@
         }
         CustomerLimit limit = limit(customer);
         double seconds = TOLERANCE.window().toMillis() / 1000.0;
-        double most = limit.perSecond() * seconds + limit.burst() + TOLERANCE.allowedExcess(limit);
-        worstExcess = Math.max(worstExcess, windowCosts[customer] / most - 1);
+        double max = limit.perSecond() * seconds + limit.burst() + TOLERANCE.allowedExcess(limit);
+        worstExcess = Math.max(worstExcess, windowCosts[customer] / max - 1);
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/customer/LimitSimulationTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/customer/LimitSimulationTest.java
@@ -8,9 +8,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Three ways to keep limits over 89 hosts, on the same requests: the leader counts for all, each
- * host has a fixed share, each host counts what it hears of. Hosts see less than one request a
- * second of most customers, and one customer sends 4.2 times what it may.
+ * Compares three strategies to enforce limits over 89 hosts on the same requests: the leader counts
+ * for all hosts, each host has a fixed share, or each host counts the requests that it is notified
+ * of. Hosts receive less than one request a second of most customers, and one customer sends 4.2
+ * times its limit.
  */
 class LimitSimulationTest {
 
@@ -24,10 +25,10 @@
 
     @Test
     void centralCountingNeverExceedsALimit() {
-        for (Faults trouble :
+        for (Faults faults :
                 new Faults[] {NONE, OVERLOAD, OVERLOAD_AND_LEADER_LOST, OVERLOAD_AND_PARTITION}) {
-            assertThat(worst(trouble, LimitStrategies.Central::new).worstExcess())
-                    .as("%s", trouble)
+            assertThat(worst(faults, LimitStrategies.Central::new).worstExcess())
+                    .as("%s", faults)
                     .isLessThanOrEqualTo(0);
         }
     }
@@ -40,14 +41,14 @@
                 .isLessThan(MAX_REFUSED_SHARE);
     }
 
-    /** The reason why limits are not shared out: most shares are less than one request. */
+    /** Limits are not divided among hosts because most shares are less than one request. */
     @Test
     void fixedSharesRefuseManyRequestsBelowTheLimit() {
         assertThat(meanRefusedShare(NONE, seed -> new LimitStrategies.FixedShares()))
                 .isGreaterThan(10 * MAX_REFUSED_SHARE);
     }
 
-    /** The reason why hosts do not count for themselves: those that are cut off hear nothing. */
+    /** Hosts do not count by themselves because hosts that are cut off receive no notices. */
     @Test
     void gossipExceedsALimitDuringAPartition() {
         assertThat(
@@ -56,20 +57,20 @@
                 .isPositive();
     }
 
-    private static Result worst(Faults trouble, LongFunction<LimitSimulation.Strategy> way) {
+    private static Result worst(Faults faults, LongFunction<LimitSimulation.Strategy> strategy) {
         Result worst = new Result(Double.NEGATIVE_INFINITY, 0);
         for (long seed = 0; seed < SEEDS; seed++) {
-            Result one = new LimitSimulation(seed, trouble).run(way.apply(seed));
+            Result one = new LimitSimulation(seed, faults).run(strategy.apply(seed));
             worst = one.worstExcess() > worst.worstExcess() ? one : worst;
         }
         return worst;
     }
 
     private static double meanRefusedShare(
-            Faults trouble, LongFunction<LimitSimulation.Strategy> way) {
+            Faults faults, LongFunction<LimitSimulation.Strategy> strategy) {
         double sum = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
-            sum += new LimitSimulation(seed, trouble).run(way.apply(seed)).refusedShare();
+            sum += new LimitSimulation(seed, faults).run(strategy.apply(seed)).refusedShare();
         }
         return sum / SEEDS;
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/customer/LimitStrategies.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/customer/LimitStrategies.java
@@ -5,12 +5,12 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 
-/** Ways to keep customers' limits over many hosts. */
+/** Strategies to enforce customers' limits over many hosts. */
 final class LimitStrategies {
 
     private LimitStrategies() {}
 
-    /** The leader counts for all; a host that does not reach it takes its share for outages. */
+    /** The leader counts for all hosts; a host that cannot reach it uses its outage allowance. */
     static final class Central implements LimitSimulation.Strategy {
         private final AllowanceManager allowances = new AllowanceManager();
         private final OutageAllowance[] outages = new OutageAllowance[LimitSimulation.HOSTS];
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Each host has the same fixed part of each limit. */
+    /** Each host has the same fixed share of each limit. */
     static final class FixedShares implements LimitSimulation.Strategy {
         private final Bucket[][] buckets =
                 new Bucket[LimitSimulation.HOSTS][LimitSimulation.CUSTOMERS];
@@ -69,7 +69,7 @@
         public boolean admits(int host, int customer, double cost, boolean reaches, long now) {
             Bucket bucket = buckets[host][customer];
             bucket.refill(now);
-            // Overdrawn by one request, or most customers could run none at all.
+            // May be overdrawn by one request; otherwise most customers could run none at all.
             if (bucket.level < 0) {
                 return false;
             }
@@ -78,7 +78,10 @@
         }
     }
 
-    /** Each host counts all that it hears of, its own at once and that of others after a while. */
+    /**
+     * Each host counts the requests that it knows of, its own at once and those of others after a
+     * delay.
+     */
     static final class Gossip implements LimitSimulation.Strategy {
         private static final long DELAY = 300;
 
--- a/stackhall-core/src/test/java/io/stackhall/core/customer/package-info.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/customer/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Tests of customers' keys and limits, and the replay in which ways to keep limits are compared.
- */
+/** Tests of customers' keys and limits, and a simulation that compares ways to enforce limits. */
 package io.stackhall.core.customer;
