--- a/stackhall-core/src/main/java/io/stackhall/core/admission/AdmissionSettings.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/AdmissionSettings.java
@@ -1,12 +1,12 @@
 package io.stackhall.core.admission;
 
 /**
- * The bounds of admission.
+ * The limits of admission.
  *
- * @param maxWaiting requests that may wait in one process
- * @param maxWaitingPerCaller requests of one caller that may wait
+ * @param maxWaiting the maximum number of waiting requests in one process
+ * @param maxWaitingPerCaller the maximum number of waiting requests of one caller
  * @param retryShare retries allowed for each first attempt
- * @param maxAttempts attempts of one request
+ * @param maxAttempts the maximum number of attempts of one request
  */
 public record AdmissionSettings(
         int maxWaiting, int maxWaitingPerCaller, double retryShare, int maxAttempts) {
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Returns the standard settings. */
+    /** Returns the default settings. */
     public static AdmissionSettings standard() {
         return new AdmissionSettings(2000, 500, 0.1, 3);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/Arrival.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/Arrival.java
@@ -11,16 +11,17 @@
 import java.util.Objects;
 
 /**
- * A request that asks to be served.
+ * A request that has arrived.
  *
- * @param id names it within this process
- * @param caller whose it is
- * @param target what it is for
- * @param priority how urgent it is
- * @param deadline when its answer is of no more use, on the monotonic clock in nanoseconds
+ * @param id identifies it within this process
+ * @param caller its customer
+ * @param target the model or service that it is for
+ * @param priority its priority
+ * @param deadline the latest time at which its answer is useful, on the monotonic clock in
+ *     nanoseconds
  * @param prefix digest of its prompt's prefix, or 0
  * @param repeatable whether it may run more than once
- * @param reach how far it may be sent
+ * @param reach whether it may be sent to other zones
  */
 public record Arrival(
         RequestId id,
@@ -32,7 +33,7 @@
         boolean repeatable,
         Reach reach) {
 
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public Arrival {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(caller, "caller");
@@ -41,7 +42,11 @@
         Objects.requireNonNull(reach, "reach");
     }
 
-    /** Returns what the router has to find an upstream for. */
+    /**
+     * Returns the request as the router takes it.
+     *
+     * @param avoided upstreams on which it has failed
+     */
     RoutingRequest routingRequest(List<UpstreamId> avoided) {
         return new RoutingRequest(target, priority, prefix, reach, avoided);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/DispatchIntervals.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/DispatchIntervals.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 
 /**
- * How long it takes, lately, until the next request of a line that has a backlog is dispatched.
- * That covers whatever slows the line: busy upstreams, more urgent requests, other entry hosts.
+ * Moving mean of the interval between dispatches from each queue while it has a backlog. It covers
+ * everything that delays a queue: busy upstreams, requests of higher priority, other entry hosts.
  */
 final class DispatchIntervals {
 
@@ -25,29 +25,33 @@
     }
 
     /**
-     * Notes a dispatch.
+     * Records a dispatch.
      *
-     * @param left how many requests of the line wait on
+     * @param left how many requests remain in the queue
+     * @param now the monotonic clock, in nanoseconds
      */
     void dispatched(Target target, Priority priority, int left, long now) {
-        Interval of =
+        Interval interval =
                 intervals.computeIfAbsent(new QueueKey(target, priority), key -> new Interval());
-        if (of.backlogged) {
-            double latest = now - of.lastDispatch;
-            of.meanNanos =
-                    of.meanNanos == 0
+        if (interval.backlogged) {
+            double latest = now - interval.lastDispatch;
+            interval.meanNanos =
+                    interval.meanNanos == 0
                             ? latest
-                            : of.meanNanos + SMOOTHING_FACTOR * (latest - of.meanNanos);
+                            : interval.meanNanos + SMOOTHING_FACTOR * (latest - interval.meanNanos);
         }
-        of.lastDispatch = now;
-        of.backlogged = left > 0;
+        interval.lastDispatch = now;
+        interval.backlogged = left > 0;
     }
 
-    /** Returns the wait behind so many requests, if the line has had a backlog. */
+    /**
+     * Returns the expected wait behind a number of requests in nanoseconds; empty before the queue
+     * has had a backlog.
+     */
     Optional<Long> expectedWait(Target target, Priority priority, int ahead) {
-        Interval of = intervals.get(new QueueKey(target, priority));
-        return of == null || of.meanNanos == 0
+        Interval interval = intervals.get(new QueueKey(target, priority));
+        return interval == null || interval.meanNanos == 0
                 ? Optional.empty()
-                : Optional.of((long) (ahead * of.meanNanos));
+                : Optional.of((long) (ahead * interval.meanNanos));
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/FairQueue.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/FairQueue.java
@@ -8,8 +8,9 @@
 import java.util.PriorityQueue;
 
 /**
- * The requests of one target and priority that wait, fair between callers: the caller served least
- * comes first, and of each caller the request with the earliest deadline.
+ * The waiting requests of one target and priority, with fair queuing between callers: the caller
+ * that has received the least service comes first, and of each caller the request with the earliest
+ * deadline.
  */
 final class FairQueue {
 
@@ -34,41 +35,41 @@
     }
 
     void add(PendingRequest waiting) {
-        CallerQueue line =
+        CallerQueue queue =
                 queues.computeIfAbsent(waiting.arrival().caller(), key -> new CallerQueue());
-        if (line.waiting.isEmpty()) {
-            line.virtualTime = Math.max(line.virtualTime, virtualTime);
+        if (queue.waiting.isEmpty()) {
+            queue.virtualTime = Math.max(queue.virtualTime, virtualTime);
         }
-        line.waiting.add(waiting);
+        queue.waiting.add(waiting);
         size++;
     }
 
     Optional<PendingRequest> peek() {
-        return leastServed().map(line -> line.waiting.peek());
+        return leastServed().map(queue -> queue.waiting.peek());
     }
 
-    /** Removes the request that {@link #peek()} returns and charges its caller for it. */
+    /** Removes the request that {@link #peek()} returns and charges its cost to the caller. */
     void take(double cost) {
-        CallerQueue line =
+        CallerQueue queue =
                 leastServed().orElseThrow(() -> new IllegalStateException("nothing waits"));
-        virtualTime = line.virtualTime;
-        line.virtualTime += cost;
-        PendingRequest taken = line.waiting.remove();
-        dropIfEmpty(taken, line);
+        virtualTime = queue.virtualTime;
+        queue.virtualTime += cost;
+        PendingRequest taken = queue.waiting.remove();
+        dropIfEmpty(taken, queue);
     }
 
     boolean remove(PendingRequest waiting) {
-        CallerQueue line = queues.get(waiting.arrival().caller());
-        if (line == null || !line.waiting.remove(waiting)) {
+        CallerQueue queue = queues.get(waiting.arrival().caller());
+        if (queue == null || !queue.waiting.remove(waiting)) {
             return false;
         }
-        dropIfEmpty(waiting, line);
+        dropIfEmpty(waiting, queue);
         return true;
     }
 
-    private void dropIfEmpty(PendingRequest removed, CallerQueue line) {
+    private void dropIfEmpty(PendingRequest removed, CallerQueue queue) {
         size--;
-        if (line.waiting.isEmpty() && line.virtualTime <= virtualTime) {
+        if (queue.waiting.isEmpty() && queue.virtualTime <= virtualTime) {
             queues.remove(removed.arrival().caller());
         }
         if (size == 0) {
@@ -78,7 +79,7 @@
 
     private Optional<CallerQueue> leastServed() {
         return queues.values().stream()
-                .filter(line -> !line.waiting.isEmpty())
-                .min(Comparator.comparingDouble(line -> line.virtualTime));
+                .filter(queue -> !queue.waiting.isEmpty())
+                .min(Comparator.comparingDouble(queue -> queue.virtualTime));
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/PendingRequest.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/PendingRequest.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that waits or runs, with what its attempts have shown. */
+/** A request that waits or runs, with the results of its attempts. */
 final class PendingRequest {
 
     private final Arrival arrival;
@@ -48,7 +48,7 @@
         attempts++;
     }
 
-    /** Notes the end of an attempt and returns where it ran. */
+    /** Records the end of an attempt and returns its upstream. */
     UpstreamId ended(boolean provedNotRun) {
         UpstreamId upstream = runningOn;
         runningOn = null;
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/Refusal.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/Refusal.java
@@ -1,13 +1,13 @@
 package io.stackhall.core.admission;
 
-/** Why a request is given up on. */
+/** Why a request is refused. */
 public enum Refusal {
-    /** As many requests wait already as may. */
+    /** The maximum number of requests is waiting. */
     QUEUE_FULL,
-    /** It could not be answered within its deadline. */
+    /** It cannot be answered within its deadline. */
     DEADLINE,
     /** No upstream of the zone runs the service or can hold the model. */
     UNREACHABLE,
-    /** Its attempts failed and it may not be tried again. */
+    /** Its attempts failed and it may not be retried. */
     FAILED
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/RequestQueues.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/RequestQueues.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** All requests that wait, by target and priority, counted by caller. */
+/** All waiting requests, by target and priority, with counts by caller. */
 final class RequestQueues {
 
     private final Map<Target, EnumMap<Priority, FairQueue>> queues = new LinkedHashMap<>();
@@ -47,28 +47,30 @@
 
     void remove(PendingRequest waiting) {
         Arrival arrival = waiting.arrival();
-        queue(arrival.target(), arrival.priority()).ifPresent(line -> line.remove(waiting));
+        queue(arrival.target(), arrival.priority()).ifPresent(queue -> queue.remove(waiting));
         forget(waiting);
     }
 
-    void take(FairQueue line, PendingRequest waiting, double cost) {
-        line.take(cost);
+    void take(FairQueue queue, PendingRequest waiting, double cost) {
+        queue.take(cost);
         forget(waiting);
     }
 
     Optional<FairQueue> queue(Target target, Priority priority) {
-        EnumMap<Priority, FairQueue> of = queues.get(target);
-        return of == null ? Optional.empty() : Optional.ofNullable(of.get(priority));
+        EnumMap<Priority, FairQueue> byPriority = queues.get(target);
+        return byPriority == null
+                ? Optional.empty()
+                : Optional.ofNullable(byPriority.get(priority));
     }
 
-    /** Returns how many requests of the same or a higher priority wait for a target. */
+    /** Returns the number of requests of the same or a higher priority that wait for a target. */
     int countAhead(Target target, Priority priority) {
-        EnumMap<Priority, FairQueue> of = queues.get(target);
-        if (of == null) {
+        EnumMap<Priority, FairQueue> byPriority = queues.get(target);
+        if (byPriority == null) {
             return 0;
         }
         int sum = 0;
-        for (Map.Entry<Priority, FairQueue> entry : of.entrySet()) {
+        for (Map.Entry<Priority, FairQueue> entry : byPriority.entrySet()) {
             if (entry.getKey().compareTo(priority) <= 0) {
                 sum += entry.getValue().size();
             }
@@ -92,8 +94,8 @@
         all.remove(waiting);
         byCaller.computeIfPresent(
                 arrival.caller(), (caller, count) -> count == 1 ? null : count - 1);
-        EnumMap<Priority, FairQueue> of = queues.get(arrival.target());
-        if (of != null && of.values().stream().allMatch(FairQueue::isEmpty)) {
+        EnumMap<Priority, FairQueue> byPriority = queues.get(arrival.target());
+        if (byPriority != null && byPriority.values().stream().allMatch(FairQueue::isEmpty)) {
             queues.remove(arrival.target());
         }
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/ServiceTimes.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/ServiceTimes.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A moving mean of how long a request for each target takes. */
+/** Moving mean of the service time of requests for each target. */
 final class ServiceTimes {
 
     private static final double SMOOTHING_FACTOR = 0.1;
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/TrafficEffect.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/TrafficEffect.java
@@ -4,19 +4,19 @@
 import io.stackhall.core.id.UpstreamId;
 import io.stackhall.core.outcome.RequestOutcome;
 
-/** What a {@link TrafficScheduler} asks its driver to do. */
+/** An action that a {@link TrafficScheduler} asks its driver to perform. */
 public sealed interface TrafficEffect {
 
-    /** Send the request to an upstream, or to another zone's host, at this address. */
+    /** Send the request to an upstream, or to another zone's host, at an address. */
     record Dispatch(RequestId id, UpstreamId upstream, String address) implements TrafficEffect {}
 
     /**
-     * Give the request its final answer now.
+     * Refuse the request.
      *
      * @param id the request
-     * @param refusal why
+     * @param refusal the reason
      * @param outcome whether it ran
-     * @param retryAfterSeconds when it is worth asking again
+     * @param retryAfterSeconds when the caller may retry
      */
     record Refuse(RequestId id, Refusal refusal, RequestOutcome outcome, int retryAfterSeconds)
             implements TrafficEffect {}
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/TrafficEvent.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/TrafficEvent.java
@@ -7,23 +7,23 @@
 import io.stackhall.core.outcome.RequestOutcome;
 import io.stackhall.core.routing.AttemptResult;
 
-/** What can happen to a {@link TrafficScheduler}. */
+/** An event that a {@link TrafficScheduler} handles. */
 public sealed interface TrafficEvent {
 
-    /** A request asks to be served. */
+    /** A request has arrived. */
     record Arrived(Arrival arrival) implements TrafficEvent {}
 
-    /** Its caller has gone before it was dispatched, or while it runs. */
+    /** Its caller has disconnected while it waited or ran. */
     record Withdrawn(RequestId id) implements TrafficEvent {}
 
     /**
      * An attempt on an upstream has ended.
      *
      * @param id the request
-     * @param ending what it says of the upstream
+     * @param result what it shows about the upstream's health
      * @param outcome whether the request ran
-     * @param answered whether the caller has got anything of the answer, so that it cannot be tried
-     *     again
+     * @param answered whether the caller has received any part of the answer, which rules out a
+     *     retry
      */
     record AttemptEnded(
             RequestId id, AttemptResult result, RequestOutcome outcome, boolean answered)
@@ -32,16 +32,16 @@
     /** An upstream has announced itself. */
     record Announced(Announcement announcement) implements TrafficEvent {}
 
-    /** An upstream has been silent for too long. */
+    /** An upstream has not announced itself for too long. */
     record UpstreamLost(UpstreamId upstream) implements TrafficEvent {}
 
-    /** A host of another zone has told what its zone can serve. */
+    /** A host of another zone has announced what its zone can serve. */
     record NeighbourAnnounced(Announcement announcement) implements TrafficEvent {}
 
-    /** A host of another zone has been silent for too long. */
+    /** A host of another zone has not announced itself for too long. */
     record NeighbourLost(UpstreamId neighbour) implements TrafficEvent {}
 
-    /** Another configuration is in force. */
+    /** Another configuration has taken effect. */
     record Configured(Configuration configuration) implements TrafficEvent {}
 
     /** Time has passed. */
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/TrafficScheduler.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/TrafficScheduler.java
@@ -20,11 +20,11 @@
 import java.util.Optional;
 
 /**
- * Decides for one entry host which request is sent where and when, and which is refused.
+ * Schedules the requests of one entry host: which one is sent where and when, and which is refused.
  *
- * <p>What cannot be answered within its deadline is refused at once, with the time after which it
- * is worth asking again. A failed attempt is tried again only if it is proved not run or the
- * request is repeatable, nothing of an answer has reached the caller, and the retry budget allows
+ * <p>A request that cannot be answered within its deadline is refused at once, with the time after
+ * which a retry may succeed. A failed attempt is retried only if it is proved not run or the
+ * request is repeatable, no part of an answer has reached the caller, and the retry budget allows
  * it.
  *
  * @see Router
@@ -45,7 +45,7 @@
     private final Map<ModelId, Integer> arrivals = new HashMap<>();
     private final List<TrafficEffect> effects = new ArrayList<>();
 
-    /** Creates a director over a router that it alone uses. */
+    /** Creates a scheduler over a router that nothing else uses. */
     public TrafficScheduler(AdmissionSettings settings, Router router) {
         this.settings = settings;
         this.router = router;
@@ -53,11 +53,11 @@
     }
 
     /**
-     * Takes one event.
+     * Handles one event.
      *
      * @param event what has happened
      * @param now the monotonic clock, in nanoseconds
-     * @return what to do, in order
+     * @return the actions to perform, in order
      */
     public List<TrafficEffect> step(TrafficEvent event, long now) {
         switch (event) {
@@ -87,24 +87,24 @@
         return drained;
     }
 
-    /** Returns and forgets how many requests for each model came since the last call. */
+    /** Returns the number of requests that have arrived for each model since the last call. */
     public Map<ModelId, Integer> drainArrivals() {
         Map<ModelId, Integer> drained = Map.copyOf(arrivals);
         arrivals.clear();
         return drained;
     }
 
-    /** Returns how many requests wait for each model. */
+    /** Returns the number of waiting requests for each model. */
     public Map<ModelId, Integer> waitingByModel() {
         return queues.waitingByModel();
     }
 
-    /** Returns how many requests wait. */
+    /** Returns the number of waiting requests. */
     public int waiting() {
         return queues.size();
     }
 
-    /** Returns how many requests are with upstreams. */
+    /** Returns the number of requests that run at upstreams. */
     public int running() {
         return pending.size() - queues.size();
     }
@@ -126,10 +126,10 @@
     }
 
     private Optional<Refusal> checkAdmission(Arrival arrival, long now) {
-        boolean crowded =
+        boolean full =
                 queues.size() >= settings.maxWaiting()
                         || queues.countOfCaller(arrival.caller()) >= settings.maxWaitingPerCaller();
-        if (crowded) {
+        if (full) {
             return Optional.of(Refusal.QUEUE_FULL);
         }
         boolean service = arrival.target() instanceof Target.Service;
@@ -141,17 +141,20 @@
         return ready - arrival.deadline() > 0 ? Optional.of(Refusal.DEADLINE) : Optional.empty();
     }
 
-    /** The wait behind the line's backlog, as it has drained lately, or by the upstreams' slots. */
+    /**
+     * Returns the expected wait behind the queue's backlog, from recent dispatch intervals or else
+     * from the slots of the upstreams.
+     */
     private long expectedWait(Arrival arrival, long now) {
         Target target = arrival.target();
-        int ownLine = queues.queue(target, arrival.priority()).map(FairQueue::size).orElse(0);
+        int ownQueue = queues.queue(target, arrival.priority()).map(FairQueue::size).orElse(0);
         int slots = router.slots(arrival.routingRequest(List.of()), now);
-        if (ownLine == 0 || slots == 0) {
+        if (ownQueue == 0 || slots == 0) {
             return 0;
         }
         int ahead = queues.countAhead(target, arrival.priority());
         long bySlots = ahead * serviceTimes.expectedNanos(target) / slots;
-        return dispatchIntervals.expectedWait(target, arrival.priority(), ownLine).orElse(bySlots);
+        return dispatchIntervals.expectedWait(target, arrival.priority(), ownQueue).orElse(bySlots);
     }
 
     private void withdraw(RequestId id, long now) {
@@ -191,9 +194,9 @@
         boolean safe = notRun || arrival.repeatable();
         boolean inTime =
                 now + serviceTimes.expectedNanos(arrival.target()) - arrival.deadline() <= 0;
-        boolean again =
+        boolean retry =
                 safe && inTime && waiting.attempts() < settings.maxAttempts() && retries.tryRetry();
-        if (again) {
+        if (retry) {
             queues.add(waiting);
         } else {
             pending.remove(arrival.id());
@@ -213,23 +216,23 @@
         }
     }
 
-    /** Serves the most urgent first, and among equals one request of each target in turn. */
+    /** Dispatches by priority, and within a priority one request of each target in turn. */
     private void dispatchAll(long now) {
         for (Priority priority : Priority.values()) {
-            List<Target> open = new ArrayList<>(queues.targets());
-            while (!open.isEmpty()) {
-                open.removeIf(target -> !dispatchOne(target, priority, now));
+            List<Target> targets = new ArrayList<>(queues.targets());
+            while (!targets.isEmpty()) {
+                targets.removeIf(target -> !dispatchOne(target, priority, now));
             }
         }
     }
 
     private boolean dispatchOne(Target target, Priority priority, long now) {
-        Optional<FairQueue> line = queues.queue(target, priority);
-        return line.isPresent() && !line.get().isEmpty() && dispatchNext(line.get(), now);
+        Optional<FairQueue> queue = queues.queue(target, priority);
+        return queue.isPresent() && !queue.get().isEmpty() && dispatchNext(queue.get(), now);
     }
 
-    private boolean dispatchNext(FairQueue line, long now) {
-        PendingRequest waiting = line.peek().orElseThrow();
+    private boolean dispatchNext(FairQueue queue, long now) {
+        PendingRequest waiting = queue.peek().orElseThrow();
         Arrival arrival = waiting.arrival();
         RoutingRequest request = arrival.routingRequest(waiting.failedOn());
         if (!router.reachable(request, now)) {
@@ -239,8 +242,8 @@
         if (chosen.isEmpty()) {
             return false;
         }
-        queues.take(line, waiting, (double) serviceTimes.expectedNanos(arrival.target()));
-        dispatchIntervals.dispatched(arrival.target(), arrival.priority(), line.size(), now);
+        queues.take(queue, waiting, (double) serviceTimes.expectedNanos(arrival.target()));
+        dispatchIntervals.dispatched(arrival.target(), arrival.priority(), queue.size(), now);
         waiting.sent(chosen.get(), now);
         router.sent(chosen.get());
         String address = router.announcement(chosen.get()).orElseThrow().address();
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/package-info.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/package-info.java
@@ -1,2 +1,2 @@
-/** Which request is served next, and which is refused at once: queues, limits and retries. */
+/** Admission and scheduling of requests: queues, limits, refusals and retries. */
 package io.stackhall.core.admission;
