--- a/stackhall-core/src/main/java/io/stackhall/core/outcome/ClaimCommand.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/outcome/ClaimCommand.java
@@ -3,15 +3,16 @@
 import io.stackhall.core.id.AttemptToken;
 import java.util.List;
 
-/** A change of a {@link ClaimTable}. */
+/** A command to a {@link ClaimTable}. */
 public sealed interface ClaimCommand {
 
     /**
-     * Asks for the right to run a request.
+     * Requests the right to run a request.
      *
      * @param key the request
-     * @param token names the attempt; a resend of this command carries the same
-     * @param fingerprint digest of the request, so that a key is not used for another one
+     * @param token identifies the attempt; a resent command carries the same one
+     * @param fingerprint digest of the request, which prevents a key from being used for another
+     *     one
      */
     record Claim(ClaimKey key, AttemptToken token, String fingerprint) implements ClaimCommand {}
 
@@ -19,13 +20,13 @@
     record Complete(ClaimKey key, AttemptToken token, StoredAnswer answer)
             implements ClaimCommand {}
 
-    /** The attempt has ended, and the request is proved not run. */
+    /** The attempt has ended, and it is proved that the request did not run. */
     record Release(ClaimKey key, AttemptToken token) implements ClaimCommand {}
 
-    /** The attempt has ended, and nobody can tell whether the request ran. */
+    /** The attempt has ended, and it is unknown whether the request ran. */
     record Abandon(ClaimKey key, AttemptToken token) implements ClaimCommand {}
 
-    /** The leader has held these claims for as long as answers are kept. */
+    /** Removes claims that the leader has held for the retention time of answers. */
     record Forget(List<ClaimKey> keys) implements ClaimCommand {
         /** Copies the list. */
         public Forget {
@@ -33,6 +34,6 @@
         }
     }
 
-    /** The time in which a claim from before a loss of memory could come back has passed. */
+    /** Ends the time in which a claim made before a loss of memory could still complete. */
     record TrustMemory() implements ClaimCommand {}
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/outcome/ClaimKey.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/outcome/ClaimKey.java
@@ -5,14 +5,14 @@
 import java.util.Objects;
 
 /**
- * Names a request that must not run twice. Keys of different callers never meet.
+ * Identifies a request that must not run twice. Keys of different customers are independent.
  *
- * @param caller whose request it is
- * @param key the caller's name for it
+ * @param caller the customer
+ * @param key the idempotency key that the caller chose
  */
 public record ClaimKey(CustomerId caller, IdempotencyKey key) {
 
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public ClaimKey {
         Objects.requireNonNull(caller, "caller");
         Objects.requireNonNull(key, "key");
--- a/stackhall-core/src/main/java/io/stackhall/core/outcome/ClaimPlacement.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/outcome/ClaimPlacement.java
@@ -8,11 +8,12 @@
 import java.util.zip.CRC32C;
 
 /**
- * Decides which availability zone keeps the claim of a key.
+ * Determines which availability zone holds the claim of a key.
  *
- * <p>A key may name its zone, as in {@code yoff:3f2a}: then that zone keeps it. Any other key is
- * spread over the zones by rendezvous hashing. The answer depends on the key and the list of zones
- * alone, never on what is reachable, so that both sides of a cut give the same one.
+ * <p>A key may name its zone, as in {@code yoff:3f2a}: then that zone holds the claim. Other keys
+ * are distributed over the zones by rendezvous hashing. The result depends only on the key and the
+ * list of zones, never on what is reachable, so that both sides of a network partition get the same
+ * one.
  */
 public final class ClaimPlacement {
 
@@ -21,9 +22,9 @@
     private final List<ZoneId> zones;
 
     /**
-     * Creates the decision for a fixed list of zones.
+     * Creates the placement for a fixed list of zones.
      *
-     * @param zones every availability zone, not empty; the order does not matter
+     * @param zones all availability zones, not empty; the order does not matter
      */
     public ClaimPlacement(List<ZoneId> zones) {
         if (zones.isEmpty()) {
@@ -32,17 +33,17 @@
         this.zones = List.copyOf(zones);
     }
 
-    /** Returns the zone that keeps the claim of a key. */
+    /** Returns the zone that holds the claim of a key. */
     public ZoneId zoneOf(IdempotencyKey key) {
         return namedZone(key).orElseGet(() -> hashedZone(key));
     }
 
     private Optional<ZoneId> namedZone(IdempotencyKey key) {
-        int mark = key.value().indexOf(ZONE_SEPARATOR);
-        if (mark <= 0) {
+        int separator = key.value().indexOf(ZONE_SEPARATOR);
+        if (separator <= 0) {
             return Optional.empty();
         }
-        String prefix = key.value().substring(0, mark);
+        String prefix = key.value().substring(0, separator);
         return zones.stream().filter(zone -> zone.value().equals(prefix)).findFirst();
     }
 
@@ -68,7 +69,7 @@
         return mix(checksum.getValue());
     }
 
-    /** Spreads the checksum, whose bits are linear in the input. */
+    /** Spreads the checksum, whose bits are a linear function of the input. */
     private static long mix(long value) {
         long mixed = value * 0x9E3779B97F4A7C15L;
         mixed ^= mixed >>> 32;
--- a/stackhall-core/src/main/java/io/stackhall/core/outcome/ClaimTable.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/outcome/ClaimTable.java
@@ -8,46 +8,47 @@
 import java.util.Optional;
 
 /**
- * The replicated table of claims, by which a request that is not repeatable runs at most once.
+ * The replicated table of claims, which ensures that a request that is not repeatable runs at most
+ * once.
  *
  * <p>A claim is taken by compare-and-set before the request is dispatched. It ends with an answer,
  * with a proof that the request did not run, or as uncertain; an uncertain request is never run
  * again. After a loss of memory, a key that the table does not know may have been claimed before,
- * and is answered as uncertain until the leader trusts the memory again.
+ * and is uncertain until the leader applies {@link ClaimCommand.TrustMemory}.
  */
 public final class ClaimTable {
 
-    /** The most claims that the table holds. */
+    /** The maximum number of claims in the table. */
     public static final int MAX_CLAIMS = 100_000;
 
     private final Map<ClaimKey, Held> claims = new LinkedHashMap<>();
     private final int capacity;
     private boolean memoryLost;
 
-    /** Creates an empty table of the standard capacity. */
+    /** Creates an empty table with the default capacity. */
     public ClaimTable() {
         this(MAX_CLAIMS);
     }
 
-    /** Creates an empty table that holds at most so many claims. */
+    /** Creates an empty table with a capacity. */
     public ClaimTable(int capacity) {
         this.capacity = capacity;
     }
 
-    /** Creates a table from what {@link #state()} returned. */
+    /** Restores a table from {@link #state()}. */
     public ClaimTable(State state) {
         this(MAX_CLAIMS);
         memoryLost = state.memoryLost();
         state.claims().forEach(held -> claims.put(held.key(), held));
     }
 
-    /** How far an attempt has come. */
+    /** The progress of an attempt. */
     public enum Progress {
         /** It may be running. */
         CLAIMED,
         /** It has ended with an answer. */
         ANSWERED,
-        /** It has ended without one. */
+        /** It has ended without an answer. */
         UNCERTAIN
     }
 
@@ -59,7 +60,7 @@
             Progress progress,
             Optional<StoredAnswer> answer) {}
 
-    /** Everything that the table holds. */
+    /** The whole content of the table. */
     public record State(List<Held> claims, boolean memoryLost) {}
 
     /** Applies a command. */
@@ -82,7 +83,7 @@
         };
     }
 
-    /** Notes that acknowledged claims may be missing. */
+    /** Records that acknowledged claims may be missing. */
     public void markMemoryLost() {
         memoryLost = true;
     }
@@ -97,7 +98,7 @@
         return List.copyOf(claims.values());
     }
 
-    /** Returns everything that the table holds. */
+    /** Returns the whole content of the table. */
     public State state() {
         return new State(new ArrayList<>(claims.values()), memoryLost);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/outcome/RequestOutcome.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/outcome/RequestOutcome.java
@@ -1,14 +1,14 @@
 package io.stackhall.core.outcome;
 
 /**
- * Whether a request was run by an upstream.
+ * Whether an upstream ran a request.
  *
- * <p>{@link NotRun} is only said where it is proved: no byte of the request was handed to a
- * connection, or the upstream itself said so.
+ * <p>{@link NotRun} is only used with a proof: no byte of the request was written to a connection,
+ * or the upstream itself said so.
  */
 public sealed interface RequestOutcome {
 
-    /** The text of the outcome header. */
+    /** Returns the value of the outcome header. */
     String header();
 
     /** Proved not run. */
@@ -19,7 +19,7 @@
         }
     }
 
-    /** Run, and answered whole or with an explicit error. */
+    /** Run, and answered completely or with an explicit error. */
     record Ran() implements RequestOutcome {
         @Override
         public String header() {
@@ -27,7 +27,7 @@
         }
     }
 
-    /** Handed to an upstream that gave no whole answer; it may or may not have run. */
+    /** Sent to an upstream that gave no complete answer; it may or may not have run. */
     record Unknown(String reason) implements RequestOutcome {
         @Override
         public String header() {
--- a/stackhall-core/src/main/java/io/stackhall/core/outcome/StoredAnswer.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/outcome/StoredAnswer.java
@@ -4,16 +4,16 @@
 import java.util.Objects;
 
 /**
- * An answer kept for whoever asks again.
+ * An answer that is kept for repetitions of a request.
  *
  * @param status HTTP status
  * @param contentType media type of the body
- * @param body the body, empty where it was too large to keep; not changed afterwards
+ * @param body the body, empty where it was too large to keep; must not be modified
  * @param complete whether the body is the whole answer
  */
 public record StoredAnswer(int status, String contentType, byte[] body, boolean complete) {
 
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public StoredAnswer {
         Objects.requireNonNull(contentType, "contentType");
         Objects.requireNonNull(body, "body");
--- a/stackhall-core/src/main/java/io/stackhall/core/outcome/WorkCommand.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/outcome/WorkCommand.java
@@ -6,10 +6,10 @@
 import io.stackhall.core.id.WorkId;
 import java.util.List;
 
-/** A change of a {@link WorkLedger}. */
+/** A command to a {@link WorkLedger}. */
 public sealed interface WorkCommand {
 
-    /** Keeps a piece of work; one with a known id is not kept twice. */
+    /** Adds a work item; a known id is not added twice. */
     record Accept(
             WorkId id,
             CustomerId caller,
@@ -18,22 +18,22 @@
             boolean repeatable)
             implements WorkCommand {}
 
-    /** Gives an attempt the next waiting work, most urgent and then oldest first. */
+    /** Assigns the next waiting item to an attempt: the highest priority, then the oldest. */
     record Take(AttemptToken token) implements WorkCommand {}
 
-    /** The attempt has an answer. */
+    /** The attempt has produced an answer. */
     record Finish(WorkId id, AttemptToken token, StoredAnswer answer) implements WorkCommand {}
 
-    /** The attempt has ended, and the work is proved not run: it waits again. */
+    /** The attempt has ended, and it is proved that the work did not run: it waits again. */
     record PutBack(WorkId id, AttemptToken token) implements WorkCommand {}
 
-    /** The attempt has ended or is gone without a proof: run again if repeatable. */
+    /** The attempt has ended or its host has gone without such a proof: run again if repeatable. */
     record Lose(WorkId id, AttemptToken token) implements WorkCommand {}
 
-    /** Its caller withdraws it; work that runs goes on. */
+    /** Its caller cancels it; work that is running continues. */
     record Cancel(WorkId id, CustomerId caller) implements WorkCommand {}
 
-    /** The leader has kept these ended pieces for as long as answers are kept. */
+    /** Removes ended items that the leader has held for the retention time of answers. */
     record Forget(List<WorkId> ids) implements WorkCommand {
         /** Copies the list. */
         public Forget {
--- a/stackhall-core/src/main/java/io/stackhall/core/outcome/WorkItem.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/outcome/WorkItem.java
@@ -8,17 +8,17 @@
 import java.util.Optional;
 
 /**
- * One piece of deferred work that was accepted.
+ * An accepted item of deferred work.
  *
- * @param id its name
- * @param caller whose it is
- * @param priority how urgent it is among the waiting work
- * @param request what to run
+ * @param id its id
+ * @param caller its customer
+ * @param priority its priority among the waiting work
+ * @param request the request to run
  * @param repeatable whether it may run more than once
- * @param progress how far it has come
- * @param holder the attempt that runs it, while one does
- * @param attempts how many attempts have started
- * @param losses how many of them were lost, so that it may have run
+ * @param progress its progress
+ * @param holder the attempt that runs it, if any
+ * @param attempts the number of attempts started
+ * @param losses the number of attempts that were lost, which may have run it
  * @param answer its answer, once there is one
  */
 public record WorkItem(
@@ -33,7 +33,7 @@
         int losses,
         Optional<StoredAnswer> answer) {
 
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public WorkItem {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(caller, "caller");
@@ -48,11 +48,11 @@
      * The request to run.
      *
      * @param target the path that the caller used
-     * @param body the body, not changed afterwards
+     * @param body the body; must not be modified
      */
     public record Request(String target, byte[] body) {}
 
-    /** How far a piece of work has come. */
+    /** The progress of a work item. */
     public enum Progress {
         /** It waits to be run. */
         WAITING,
@@ -60,12 +60,12 @@
         RUNNING,
         /** It has an answer. */
         ANSWERED,
-        /** Whether it ran is not known, and it may not run again. */
+        /** It is unknown whether it ran, and it may not run again. */
         UNCERTAIN,
-        /** Its caller withdrew it before it ran. */
+        /** Its caller cancelled it before it ran. */
         CANCELLED;
 
-        /** Returns whether nothing more will happen to the work. */
+        /** Returns whether the state is final. */
         public boolean ended() {
             return this != WAITING && this != RUNNING;
         }
--- a/stackhall-core/src/main/java/io/stackhall/core/outcome/WorkLedger.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/outcome/WorkLedger.java
@@ -10,20 +10,21 @@
 import java.util.Optional;
 
 /**
- * The replicated ledger of accepted work: none is lost, and none that is not repeatable runs twice.
+ * The replicated ledger of accepted work: no item is lost, and none that is not repeatable runs
+ * twice.
  *
- * <p>The work and the intent to run it are one entry. An attempt takes work by compare-and-set.
- * Work whose attempt is gone waits again if it is repeatable and has not lost too many; otherwise
- * it is uncertain and stays so.
+ * <p>An item and the intent to run it are one entry. An attempt takes an item by compare-and-set.
+ * If the attempt is lost, the item waits again if it is repeatable and has not lost too many
+ * attempts; otherwise it becomes uncertain and stays so.
  */
 public final class WorkLedger {
 
-    /** The most pieces of work that the ledger holds, ended ones included. */
+    /** The maximum number of items in the ledger, including ended ones. */
     public static final int MAX_ITEMS = 20_000;
 
     /**
-     * A host or an upstream dies under one piece of work once in a long while; five ends in a row
-     * are the work's own doing, and each takes along whatever else ran there.
+     * Losing a host or an upstream during one item is rare; five losses in a row are caused by the
+     * item itself, and each also ends whatever else ran there.
      */
     private static final int MAX_LOST_ATTEMPTS = 5;
 
@@ -35,12 +36,12 @@
     /** Creates an empty ledger. */
     public WorkLedger() {}
 
-    /** Creates a ledger from what {@link #state()} returned. */
+    /** Restores a ledger from {@link #state()}. */
     public WorkLedger(State state) {
         state.items().forEach(item -> items.put(item.id(), item));
     }
 
-    /** Everything that the ledger holds, oldest first. */
+    /** The whole content of the ledger, oldest first. */
     public record State(List<WorkItem> items) {}
 
     /** Applies a command. */
@@ -58,17 +59,17 @@
         };
     }
 
-    /** Returns a piece of work. */
+    /** Returns the item with an id. */
     public Optional<WorkItem> item(WorkId id) {
         return Optional.ofNullable(items.get(id));
     }
 
-    /** Returns every piece of work, oldest first. */
+    /** Returns all items, oldest first. */
     public List<WorkItem> items() {
         return List.copyOf(items.values());
     }
 
-    /** Returns everything that the ledger holds. */
+    /** Returns the whole content of the ledger. */
     public State state() {
         return new State(items());
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/outcome/WorkResult.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/outcome/WorkResult.java
@@ -1,23 +1,23 @@
 package io.stackhall.core.outcome;
 
-/** The answer to a {@link WorkCommand}. */
+/** The result of a {@link WorkCommand}. */
 public sealed interface WorkResult {
 
-    /** The work is kept, now or since before. */
+    /** The ledger holds the item, since now or since before. */
     record Kept(WorkItem item) implements WorkResult {}
 
-    /** The attempt holds this work now. */
+    /** The attempt now holds this item. */
     record Taken(WorkItem item) implements WorkResult {}
 
-    /** No work waits. */
+    /** No item is waiting. */
     record NothingWaits() implements WorkResult {}
 
-    /** The ledger holds as much as it may. */
+    /** The ledger holds its maximum number of items. */
     record Full() implements WorkResult {}
 
-    /** The command was carried out. */
+    /** The command has been applied. */
     record Done() implements WorkResult {}
 
-    /** The command does not fit the state of the work. */
+    /** The command does not match the state of the item. */
     record Stale() implements WorkResult {}
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/outcome/package-info.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/outcome/package-info.java
@@ -1,2 +1,2 @@
-/** What became of a request: typed outcomes, claims for at-most-once runs, and accepted work. */
+/** Outcomes of requests, claims for at-most-once execution, and accepted deferred work. */
 package io.stackhall.core.outcome;
--- a/stackhall-core/src/test/java/io/stackhall/core/outcome/ClaimTableTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/outcome/ClaimTableTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** How claims are taken, ended and remembered. */
+/** How claims are taken, ended and restored, and which zone holds them. */
 class ClaimTableTest {
 
     private static final ClaimKey KEY = key("k");
@@ -94,16 +94,16 @@
     void zoneDependsOnTheKeyAloneAndNamedZonesAreHonoured() {
         ZoneId yoff = new ZoneId("yoff");
         List<ZoneId> zones = List.of(new ZoneId("plateau"), yoff, new ZoneId("rufisque"));
-        ClaimPlacement homes = new ClaimPlacement(zones);
+        ClaimPlacement placement = new ClaimPlacement(zones);
         ClaimPlacement reversed = new ClaimPlacement(zones.reversed());
         Map<ZoneId, Integer> spread = new HashMap<>();
         for (int at = 0; at < 3000; at++) {
             IdempotencyKey key = new IdempotencyKey("key-" + at);
-            assertThat(reversed.zoneOf(key)).isEqualTo(homes.zoneOf(key));
-            spread.merge(homes.zoneOf(key), 1, Integer::sum);
+            assertThat(reversed.zoneOf(key)).isEqualTo(placement.zoneOf(key));
+            spread.merge(placement.zoneOf(key), 1, Integer::sum);
         }
         assertThat(spread.values()).hasSize(3).allMatch(count -> count > 850 && count < 1150);
-        assertThat(homes.zoneOf(new IdempotencyKey("yoff:1"))).isEqualTo(yoff);
+        assertThat(placement.zoneOf(new IdempotencyKey("yoff:1"))).isEqualTo(yoff);
     }
 
     private ClaimResult claim(ClaimKey key, AttemptToken token) {
--- a/stackhall-core/src/test/java/io/stackhall/core/outcome/WorkLedgerTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/outcome/WorkLedgerTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How accepted work is taken, ended and given back. */
+/** How accepted work is taken, ended and returned. */
 class WorkLedgerTest {
 
     private static final AttemptToken FIRST = new AttemptToken("first");
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Work that ends each upstream which begins it would be run again forever, by one host after
-     * another and across their restarts.
+     * A work item that crashes each upstream that begins to run it would be run again forever, by
+     * one host after another and across their restarts.
      */
     @Test
     void workIsUncertainAfterTheMaximumOfLostAttempts() {
