--- a/stackhall-core/src/main/java/io/stackhall/core/route/EngineSpec.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/route/EngineSpec.java
@@ -7,15 +7,15 @@
 import java.util.Optional;
 
 /**
- * What the model engines of a service are like; all are alike.
+ * The properties of a service's model engines, which are all alike.
  *
  * @param slots requests that an engine runs at once
- * @param cacheTokens tokens of prompts and answers that an engine's memory holds
+ * @param cacheTokens tokens of prompts and answers that fit into an engine's memory
  * @param weightsMb memory for weights and adapters together, in MB
  * @param adapterSlots adapters that an engine holds at once
  * @param loadsPerSecond loads that the weight store allows over all engines
- * @param hostCopiesMb memory for copies of weights beside the accelerators, in MB
- * @param diskCopiesMb disk for copies of weights, in MB
+ * @param hostCopiesMb host memory for copies of weights, in MB
+ * @param diskCopiesMb disk space for copies of weights, in MB
  * @param models the models, by name
  */
 public record EngineSpec(
@@ -28,12 +28,12 @@
         double diskCopiesMb,
         Map<ModelId, ModelWeights> models) {
 
-    /** Copies the models in their order. */
+    /** Copies the models and keeps their order. */
     public EngineSpec {
         models = new LinkedHashMap<>(models);
     }
 
-    /** Returns the models by name, from a list. */
+    /** Indexes models by name. */
     public static Map<ModelId, ModelWeights> byName(List<ModelWeights> models) {
         Map<ModelId, ModelWeights> named = new LinkedHashMap<>();
         models.forEach(model -> named.put(model.model(), model));
--- a/stackhall-core/src/main/java/io/stackhall/core/route/ModelWeights.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/route/ModelWeights.java
@@ -6,15 +6,15 @@
 import java.util.Set;
 
 /**
- * One model that a service's engines may hold.
+ * A model that a service's engines may hold.
  *
  * @param model its name
  * @param weightsMb memory that its weights take, in MB
  * @param adapters the names of its adapters
  * @param adapterMb memory that each adapter takes, in MB
- * @param loadFromStore how long a load from the weight store takes
- * @param loadFromDisk how long a load takes where the engine keeps a copy on its disk
- * @param loadFromMemory how long a load takes where the engine keeps a copy in its host's memory
+ * @param loadFromStore the time of a load from the weight store
+ * @param loadFromDisk the time of a load from a copy on the engine's disk
+ * @param loadFromMemory the time of a load from a copy in the memory of the engine's host
  */
 public record ModelWeights(
         ModelId model,
@@ -25,16 +25,16 @@
         Duration loadFromDisk,
         Duration loadFromMemory) {
 
-    /** Copies the names. */
+    /** Copies the adapters. */
     public ModelWeights {
         adapters = List.copyOf(adapters);
     }
 
     /**
-     * Returns how long a load takes on an engine.
+     * Returns the time that a load takes on an engine.
      *
-     * @param inHostMemory the models whose weights its host's memory keeps
-     * @param onDisk the models whose weights its disk keeps
+     * @param inHostMemory the models of which its host's memory holds copies
+     * @param onDisk the models of which its disk holds copies
      */
     public Duration loadTime(Set<ModelId> inHostMemory, Set<ModelId> onDisk) {
         if (inHostMemory.contains(model)) {
--- a/stackhall-core/src/main/java/io/stackhall/core/route/Route.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/route/Route.java
@@ -5,21 +5,21 @@
 import java.util.List;
 
 /**
- * Where requests of one host name and path prefix go, and what the operator allows them.
+ * A route: where requests for a host name and path prefix go, and their limits and objectives.
  *
  * @param name the route's name
- * @param host the host name that callers ask for, in lower case
+ * @param host the host name that callers request, in lower case
  * @param pathPrefix begins and ends with a slash
  * @param kind how requests may be run
- * @param timeout the longest that a request is held
- * @param objective the time within which an answer is on time
- * @param rank how urgent requests are, 0 first
+ * @param timeout the maximum time for which a request is held
+ * @param latencyObjective the time within which an answer is on time
+ * @param rank the priority of its requests, 0 is the highest
  * @param split the services that share the requests, with weights
- * @param maxAttempts the most upstreams that one request is sent to
- * @param resumable whether a broken stream may go on at another upstream
- * @param longestPause the longest pause between events of a stream that is on time
- * @param callerPatience how long a caller stays without an answer, or without a further event of a
- *     stream
+ * @param maxAttempts the maximum number of upstreams to which one request is sent
+ * @param resumable whether a broken stream may be resumed at another upstream
+ * @param eventGapObjective the longest gap between events of a stream that is on time
+ * @param callerTimeout how long a caller waits for an answer, or for the next event of a stream,
+ *     before it disconnects
  * @param open whether requests need no customer's key
  */
 public record Route(
@@ -45,7 +45,7 @@
     /** One service's share of a route's requests. */
     public record Share(ServiceName service, int weight) {}
 
-    /** Returns whether a request may be run again after it may have run. */
+    /** Returns whether a request that may have run may be run again. */
     public boolean repeatable() {
         return kind == RouteKind.IDEMPOTENT || (kind == RouteKind.STREAM && resumable);
     }
@@ -53,14 +53,14 @@
     /**
      * Returns the service for a request.
      *
-     * @param ticket a number drawn evenly from the non-negative integers
+     * @param ticket a uniformly distributed non-negative random integer
      */
     public ServiceName chooseService(int ticket) {
         int total = split.stream().mapToInt(Share::weight).sum();
-        int place = total == 0 ? 0 : ticket % total;
+        int remainder = total == 0 ? 0 : ticket % total;
         for (Share share : split) {
-            place -= share.weight();
-            if (place < 0) {
+            remainder -= share.weight();
+            if (remainder < 0) {
                 return share.service();
             }
         }
--- a/stackhall-core/src/main/java/io/stackhall/core/route/RouteTable.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/route/RouteTable.java
@@ -14,7 +14,7 @@
 /**
  * One version of the routes and services.
  *
- * <p>Of the routes of a host name the one with the longest prefix of the path is picked.
+ * <p>The route of a request is the one of its host name with the longest matching path prefix.
  */
 public final class RouteTable {
 
@@ -25,7 +25,7 @@
     private final Customers customers;
     private final Map<String, List<Route>> byHost = new HashMap<>();
 
-    /** Creates a table; routes may stand in any order. */
+    /** Creates a table from routes in any order. */
     public RouteTable(
             long version,
             List<Route> routes,
@@ -45,7 +45,7 @@
         byHost.values().forEach(list -> list.sort(longestFirst));
     }
 
-    /** Returns the version, which grows with every change. */
+    /** Returns the version, which increases with every change. */
     public long version() {
         return version;
     }
@@ -65,7 +65,7 @@
         return Optional.ofNullable(services.get(name));
     }
 
-    /** Returns the shortest objective of the routes that lead to each service. */
+    /** Returns the shortest latency objective of the routes to each service. */
     public Map<ServiceName, Duration> shortestLatencyObjectives() {
         Map<ServiceName, Duration> shortest = new HashMap<>();
         for (Route route : routes) {
@@ -79,19 +79,19 @@
         return shortest;
     }
 
-    /** Returns how many requests a second upstreams of each service bear while they are cold. */
+    /** Returns the rate, in requests per second, that a cold upstream of each service sustains. */
     public Map<ServiceName, Double> coldRequestRates() {
         Map<ServiceName, Double> all = new HashMap<>();
         services.forEach((name, service) -> all.put(name, service.coldPerSecond()));
         return all;
     }
 
-    /** Returns who may send requests. */
+    /** Returns the customers, whose keys authorize requests. */
     public Customers customers() {
         return customers;
     }
 
-    /** Returns the bounds on callers. */
+    /** Returns the limits on callers. */
     public CallerLimits limits() {
         return limits;
     }
@@ -99,7 +99,7 @@
     /**
      * Returns the route of a request.
      *
-     * @param host the host name asked for, with or without a port
+     * @param host the requested host name, with or without a port
      * @param target the path, with or without a query
      */
     public Optional<Route> find(String host, String target) {
--- a/stackhall-core/src/main/java/io/stackhall/core/route/RouteTableChecker.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/route/RouteTableChecker.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Set;
 
-/** Finds everything that is wrong with a version of the routes and services. */
+/** Finds all errors in a version of the routes and services. */
 public final class RouteTableChecker {
 
     private RouteTableChecker() {}
 
-    /** Returns what is wrong, each with the route concerned. */
+    /** Returns the findings, each with the route or customer concerned. */
     public static List<Finding> check(RouteTable table) {
         List<Finding> findings = new ArrayList<>();
         Set<String> places = new HashSet<>();
--- a/stackhall-core/src/main/java/io/stackhall/core/route/RoutesConfirmation.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/route/RoutesConfirmation.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * Whether an entry host may put into force the configuration that it holds.
+ * Decides whether an entry host may activate the configuration that it holds.
  *
- * <p>A host that starts anew has obeyed some configuration in an earlier life and has forgotten
- * which. It hears of configurations from several control hosts, some of which may be behind, and of
- * the newest from a quorum, by its version alone. So it waits until it holds what the quorum has
- * named, or a newer one: each one in between was replaced before the host asked. Where no quorum
- * answers and nothing newer is on its way, it obeys what it holds after a while, so that a zone
- * that is cut off goes on serving.
+ * <p>A restarted host does not remember which configuration an earlier incarnation had activated.
+ * It receives configurations from several control hosts, some of which may lag behind, and from a
+ * quorum the version of the newest one. It therefore waits until it holds the version that the
+ * quorum has confirmed, or a newer one: each version in between was replaced before the host asked.
+ * If no quorum answers and no newer version is reported for a while, it activates what it holds, so
+ * that a zone that is cut off continues to serve requests.
  *
- * <p>Moments are of a clock that goes on while the machine is suspended, in nanoseconds.
+ * <p>Moments are in nanoseconds, of a clock that keeps running while the machine is suspended.
  */
 public final class RoutesConfirmation {
 
@@ -25,16 +25,16 @@
     private long reportedAt;
 
     /**
-     * Creates the trust of a host that has heard of nothing.
+     * Creates the state of a host that has not received anything.
      *
-     * @param patience how long a host waits for a quorum's word after the last news of a
-     *     configuration
+     * @param quorumTimeout how long a host waits for a quorum's answer after a newer version was
+     *     last reported
      */
-    public RoutesConfirmation(Duration patience) {
-        this.quorumTimeout = patience;
+    public RoutesConfirmation(Duration quorumTimeout) {
+        this.quorumTimeout = quorumTimeout;
     }
 
-    /** Notes that a control host knows a configuration. */
+    /** Records that a control host knows a version. */
     public void reported(long version, long now) {
         if (version > reported) {
             reported = version;
@@ -42,52 +42,52 @@
         }
     }
 
-    /** Notes that a quorum has named a configuration as the newest. */
+    /** Records that a quorum has confirmed a version as the newest. */
     public void confirmed(long version, long now) {
         reported(version, now);
         confirmed = Math.max(confirmed, version);
     }
 
-    /** Notes that this host now holds the whole of a configuration. */
+    /** Records that this host now holds the whole configuration of a version. */
     public void received(long version, long now) {
         reported(version, now);
         held = Math.max(held, version);
     }
 
     /**
-     * Returns whether the configuration that is held may be put into force.
+     * Returns whether the configuration that is held may be activated.
      *
-     * @param inForce the version in force, negative where there is none
+     * @param inForce the active version, negative if there is none
      */
     public boolean mayActivate(long inForce, long now) {
         if (held <= inForce) {
             return false;
         }
-        boolean named = confirmed != NONE && held >= confirmed;
-        return named || now - reportedAt >= quorumTimeout.toNanos();
+        boolean newest = confirmed != NONE && held >= confirmed;
+        return newest || now - reportedAt >= quorumTimeout.toNanos();
     }
 
-    /** Returns whether a quorum has named any configuration. */
+    /** Returns whether a quorum has confirmed any version. */
     public boolean isConfirmed() {
         return confirmed != NONE;
     }
 
-    /** Returns whether a configuration is known of that this host does not hold. */
+    /** Returns whether a newer version has been reported than the one held. */
     public boolean lacksNewest() {
         return reported > held;
     }
 
-    /** Returns the version of the configuration that is held, negative where there is none. */
+    /** Returns the version that is held, negative if there is none. */
     public long held() {
         return held;
     }
 
-    /** Returns the newest version that any control host has told of, negative for none. */
+    /** Returns the newest version that a control host has reported, negative if there is none. */
     public long reported() {
         return reported;
     }
 
-    /** Returns the newest version that a quorum has named, negative for none. */
+    /** Returns the newest version that a quorum has confirmed, negative if there is none. */
     public long confirmed() {
         return confirmed;
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/route/ServiceEntry.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/route/ServiceEntry.java
@@ -4,18 +4,18 @@
 import java.util.Optional;
 
 /**
- * One service that routes lead to.
+ * A service that routes refer to.
  *
  * @param name its name
- * @param maxConnections connections that an upstream of it accepts from all hosts together
- * @param coldPerSecond requests a second that an upstream of it bears from all hosts together while
- *     it is cold, or 0 where that is without bound
- * @param engine what its upstreams are like where they are model engines
+ * @param maxConnections connections that one of its upstreams accepts from all hosts together
+ * @param coldPerSecond requests per second that one of its upstreams sustains from all hosts
+ *     together while it is cold, or 0 if unlimited
+ * @param engine the properties of its upstreams if these are model engines
  */
 public record ServiceEntry(
         ServiceName name, int maxConnections, double coldPerSecond, Optional<EngineSpec> engine) {
 
-    /** Checks the figure. */
+    /** Checks the range of the rate. */
     public ServiceEntry {
         if (!(coldPerSecond >= 0)) {
             throw new IllegalArgumentException(
--- a/stackhall-core/src/main/java/io/stackhall/core/route/package-info.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/route/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Which service a caller's request goes to, and what the operator allows it: routes and services.
- */
+/** Routes and services: which service a request goes to, and under which limits. */
 package io.stackhall.core.route;
--- a/stackhall-core/src/test/java/io/stackhall/core/route/RouteTableTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/route/RouteTableTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Which route a request takes, and what a version of the routes may not hold. */
+/** Which route a request takes, and which errors the checker finds. */
 class RouteTableTest {
 
     private static final ServiceName PLAIN = new ServiceName("plain");
--- a/stackhall-core/src/test/java/io/stackhall/core/route/RoutesConfirmationTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/route/RoutesConfirmationTest.java
@@ -13,9 +13,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * After a restart of all hosts a quorum named version 500 to an entry host that held version 1, and
- * the host took that for a word on version 1. It refused the routes that the 499 changes in between
- * had added, until it was told the newest.
+ * When an entry host may activate a configuration.
+ *
+ * <p>The failure: after a restart of all hosts a quorum confirmed version 500 to an entry host that
+ * held version 1, and the host took that as a confirmation of version 1. It refused requests for
+ * the routes that the 499 changes in between had added, until it received the newest version. The
+ * log showed:
  *
  * <pre>
  * routes.confirmed version=1
@@ -62,22 +65,22 @@
         assertThat(confirmation.mayActivate(NONE, 2 * QUORUM_TIMEOUT.toNanos())).isTrue();
     }
 
-    /** What control hosts tell, in any order. */
+    /** What control hosts send, in any order. */
     sealed interface Notice {
         /** A version that a control host knows. */
         record Reported(long version) implements Notice {}
 
-        /** A configuration, whole. */
+        /** A whole configuration. */
         record Received(long version) implements Notice {}
 
-        /** The version that a quorum names as the newest. */
+        /** The version that a quorum confirms as the newest. */
         record Confirmed(long version) implements Notice {}
     }
 
     @Provide
     Arbitrary<List<Notice>> notices() {
         Arbitrary<Long> versions = Arbitraries.longs().between(0, 20);
-        Arbitrary<Notice> word =
+        Arbitrary<Notice> notice =
                 Combinators.combine(Arbitraries.integers().between(0, 2), versions)
                         .as(
                                 (kind, version) ->
@@ -86,29 +89,29 @@
                                             case 1 -> new Notice.Received(version);
                                             default -> new Notice.Confirmed(version);
                                         });
-        return word.list().ofMaxSize(30);
+        return notice.list().ofMaxSize(30);
     }
 
     @Property
     void nothingOlderThanTheConfirmedVersionIsActivatedWithinTheTimeout(
-            @ForAll("words") List<Notice> words) {
-        RoutesConfirmation each = new RoutesConfirmation(QUORUM_TIMEOUT);
-        long newestNamed = NONE;
+            @ForAll("notices") List<Notice> notices) {
+        RoutesConfirmation confirmation = new RoutesConfirmation(QUORUM_TIMEOUT);
+        long newestConfirmed = NONE;
         long newestHeld = NONE;
-        for (Notice word : words) {
-            switch (word) {
-                case Notice.Reported(long version) -> each.reported(version, 0);
+        for (Notice notice : notices) {
+            switch (notice) {
+                case Notice.Reported(long version) -> confirmation.reported(version, 0);
                 case Notice.Received(long version) -> {
-                    each.received(version, 0);
+                    confirmation.received(version, 0);
                     newestHeld = Math.max(newestHeld, version);
                 }
                 case Notice.Confirmed(long version) -> {
-                    each.confirmed(version, 0);
-                    newestNamed = Math.max(newestNamed, version);
+                    confirmation.confirmed(version, 0);
+                    newestConfirmed = Math.max(newestConfirmed, version);
                 }
             }
-            boolean mayServe = newestNamed != NONE && newestHeld >= newestNamed;
-            assertThat(each.mayActivate(NONE, 0)).isEqualTo(mayServe);
+            boolean mayActivate = newestConfirmed != NONE && newestHeld >= newestConfirmed;
+            assertThat(confirmation.mayActivate(NONE, 0)).isEqualTo(mayActivate);
         }
     }
 }
