--- a/stackhall-core/src/main/java/io/stackhall/core/routing/Reach.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/routing/Reach.java
@@ -1,9 +1,9 @@
 package io.stackhall.core.routing;
 
-/** How far a request may be sent. */
+/** To which zones a request may be sent. */
 public enum Reach {
-    /** To the upstreams of this zone only: another zone's host has already passed it on. */
+    /** Only to upstreams of this zone: another zone's host has already forwarded it. */
     ZONE,
-    /** To this zone's upstreams, and to a host of another zone where this one cannot serve it. */
+    /** To upstreams of this zone, or to a host of another zone if this one cannot serve it. */
     ALL_ZONES
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/routing/RetryBudget.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/routing/RetryBudget.java
@@ -1,9 +1,6 @@
 package io.stackhall.core.routing;
 
-/**
- * Bounds retries to a share of the traffic, so that a failing back end is not hit harder for
- * failing.
- */
+/** Limits retries to a share of the traffic, so that retries do not overload a failing upstream. */
 public final class RetryBudget {
 
     private static final double MAX_TOKENS = 100;
@@ -25,7 +22,7 @@
         this.tokens = reserve;
     }
 
-    /** Notes a first attempt. */
+    /** Records a first attempt, which adds to the budget. */
     public void recordFirstAttempt() {
         tokens = Math.min(MAX_TOKENS, tokens + share);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/routing/Router.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/routing/Router.java
@@ -10,13 +10,13 @@
 /**
  * Chooses an upstream for a request.
  *
- * <p>Only upstreams that hold the model come into question. One that reports the request's prefix
- * in its cache is preferred while it is not much busier. Otherwise two are drawn at random and the
- * one with the shorter expected wait is taken, so that many entry hosts with the same late reports
+ * <p>Only upstreams that hold the model are candidates. One that reports the request's prefix in
+ * its cache is preferred while it is not much busier. Otherwise two are drawn at random and the one
+ * with the shorter expected wait is taken, so that many entry hosts with the same outdated reports
  * do not all choose the same one.
  *
- * <p>Hosts of other zones count as upstreams where this zone cannot serve a request: those whose
- * zone holds the model, or any with engines if this zone has none left to load it.
+ * <p>Hosts of other zones are candidates if this zone cannot serve a request: those whose zone
+ * holds the model, or any with engines if this zone has none left to load it.
  *
  * @see io.stackhall.core.membership.Neighbours
  */
@@ -36,38 +36,38 @@
         this.otherZones = new TargetIndex(settings);
     }
 
-    /** Takes the latest announcement of an upstream of this zone. */
+    /** Updates an upstream of this zone from its latest announcement. */
     public void announced(Announcement announcement, long now) {
         ownZone.announced(announcement, now).draining(isDraining(announcement.id()));
     }
 
-    /** Forgets an upstream of this zone that has been silent for too long. */
+    /** Removes an upstream of this zone that has not announced itself for too long. */
     public void lost(UpstreamId upstream) {
         ownZone.lost(upstream);
     }
 
-    /** Takes the latest announcement of another zone's host. */
+    /** Updates another zone's host from its latest announcement. */
     public void neighbourAnnounced(Announcement announcement, long now) {
         otherZones.announced(announcement, now);
     }
 
-    /** Forgets another zone's host that has been silent for too long. */
+    /** Removes another zone's host that has not announced itself for too long. */
     public void neighbourLost(UpstreamId neighbour) {
         otherZones.lost(neighbour);
     }
 
-    /** Takes the configuration in force. */
+    /** Applies a configuration. */
     public void configured(Configuration next) {
         configuration = next;
         ownZone.all().forEach(state -> state.draining(isDraining(state.id())));
     }
 
-    /** Returns whether an upstream that takes new work could serve a request. */
+    /** Returns whether an upstream that accepts new requests could serve a request. */
     public boolean reachable(RoutingRequest request, long now) {
         return anyTakes(candidates(request, now), request, now);
     }
 
-    /** Returns how many requests like this one the upstreams run at once. */
+    /** Returns the number of slots of the upstreams that could serve a request. */
     public int slots(RoutingRequest request, long now) {
         int sum = 0;
         for (UpstreamState state : candidates(request, now)) {
@@ -78,7 +78,7 @@
         return sum;
     }
 
-    /** Chooses an upstream with room for a request, if there is one. */
+    /** Chooses an upstream below its limit for a request; empty if there is none. */
     public Optional<UpstreamId> choose(RoutingRequest request, long now) {
         List<UpstreamState> candidates = candidates(request, now);
         int count = candidates.size();
@@ -97,12 +97,12 @@
         return Optional.of(best.id());
     }
 
-    /** Notes that a request was sent to an upstream. */
+    /** Records that a request was sent to an upstream. */
     public void sent(UpstreamId upstream) {
         find(upstream).ifPresent(UpstreamState::sent);
     }
 
-    /** Notes how a request on an upstream ended. */
+    /** Records the end of a request on an upstream. */
     public void ended(UpstreamId upstream, AttemptResult ending, long now) {
         find(upstream).ifPresent(state -> state.ended(ending, now));
     }
@@ -146,7 +146,7 @@
         return state.takesNewWork(now) && !request.avoided().contains(state.id());
     }
 
-    /** Returns the first usable candidate from a drawn place on. */
+    /** Returns the first usable candidate from a start index on, or null. */
     private static UpstreamState draw(
             List<UpstreamState> candidates, int start, RoutingRequest request, long now) {
         int count = candidates.size();
--- a/stackhall-core/src/main/java/io/stackhall/core/routing/RoutingRequest.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/routing/RoutingRequest.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /**
- * What the router has to find an upstream for.
+ * A request as the router needs it.
  *
- * @param target what the request is for
- * @param priority how urgent it is
+ * @param target the model or service that it is for
+ * @param priority its priority
  * @param prefix digest of its prompt's prefix, or 0
- * @param reach how far it may be sent
- * @param avoided upstreams that have failed it
+ * @param reach whether it may be sent to other zones
+ * @param avoided upstreams on which it has failed
  */
 public record RoutingRequest(
         Target target, Priority priority, long prefix, Reach reach, List<UpstreamId> avoided) {
--- a/stackhall-core/src/main/java/io/stackhall/core/routing/RoutingSettings.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/routing/RoutingSettings.java
@@ -4,13 +4,13 @@
 import java.util.Objects;
 
 /**
- * The bounds of routing.
+ * The parameters of routing.
  *
  * @param failuresToEject consecutive failures after which an upstream is ejected
- * @param ejection the first ejection; it doubles with each that follows
- * @param longestEjection the bound of that
- * @param slowStart the time in which a new or returning upstream comes up to its full limit
- * @param urgentShare the share of an upstream's limit that only urgent requests may take
+ * @param ejection the duration of the first ejection; it doubles with each consecutive one
+ * @param longestEjection the maximum duration of an ejection
+ * @param slowStart the time in which a new or readmitted upstream reaches its full limit
+ * @param urgentShare the share of an upstream's limit that is reserved for urgent requests
  */
 public record RoutingSettings(
         int failuresToEject,
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Returns the standard settings. */
+    /** Returns the default settings. */
     public static RoutingSettings standard() {
         return new RoutingSettings(
                 3, Duration.ofSeconds(2), Duration.ofSeconds(30), Duration.ofSeconds(5), 0.25);
--- a/stackhall-core/src/main/java/io/stackhall/core/routing/Target.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/routing/Target.java
@@ -3,7 +3,7 @@
 import io.stackhall.core.id.ModelId;
 import io.stackhall.core.id.ServiceName;
 
-/** What a request is for. */
+/** The model or service that a request is for. */
 public sealed interface Target {
 
     /** A model or adapter. */
--- a/stackhall-core/src/main/java/io/stackhall/core/routing/TargetIndex.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/routing/TargetIndex.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Upstreams by name, and by what they can serve. */
+/** Index of upstreams by id and by the targets that they can serve. */
 final class TargetIndex {
 
     private final RoutingSettings settings;
@@ -24,7 +24,7 @@
         this.settings = settings;
     }
 
-    /** Takes an announcement and returns the state of the upstream that made it. */
+    /** Applies an announcement and returns the state of its upstream. */
     UpstreamState announced(Announcement announcement, long now) {
         UpstreamState known = states.get(announcement.id());
         boolean sameTargets = false;
@@ -54,17 +54,17 @@
         return states.values();
     }
 
-    /** Returns the upstreams that can serve a target, whatever their health. */
+    /** Returns the upstreams that can serve a target, regardless of their health. */
     List<UpstreamState> upstreamsFor(Target target) {
         return byTarget.getOrDefault(target, List.of());
     }
 
-    /** Returns whether an upstream with accelerators takes new work. */
+    /** Returns whether an upstream with accelerators accepts new requests. */
     boolean hasEngine(long now) {
         return states.values().stream().anyMatch(state -> isAvailableEngine(state, now));
     }
 
-    /** Returns the upstreams with accelerators that take new work. */
+    /** Returns the upstreams with accelerators that accept new requests. */
     List<UpstreamState> engines(long now) {
         return states.values().stream().filter(state -> isAvailableEngine(state, now)).toList();
     }
@@ -80,7 +80,10 @@
         }
     }
 
-    /** An adapter is only served where its base is resident beside it; both are reported. */
+    /**
+     * Both an adapter and its base are reported; an adapter is only served where its base is
+     * resident.
+     */
     private static Set<Target> targetsOf(Announcement announcement) {
         Set<Target> targets = new HashSet<>();
         for (ServiceName service : announcement.services()) {
--- a/stackhall-core/src/main/java/io/stackhall/core/routing/UpstreamState.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/routing/UpstreamState.java
@@ -4,7 +4,10 @@
 import io.stackhall.core.id.UpstreamId;
 import io.stackhall.core.membership.Announcement;
 
-/** What one entry host knows of one upstream: its last report, own dispatches and its health. */
+/**
+ * One entry host's view of an upstream: its last announcement, this host's dispatches and its
+ * health.
+ */
 final class UpstreamState {
 
     private static final double LIMIT_DECREASE = 0.7;
@@ -62,7 +65,7 @@
         return !ejected || (now - ejectedUntil >= 0 && !probing);
     }
 
-    /** Returns whether a request of that priority may be sent now. */
+    /** Returns whether a request of a priority may be sent now within the upstream's limit. */
     boolean hasRoom(Priority priority, long now) {
         if (ejected) {
             return inFlight <= 0;
@@ -74,7 +77,10 @@
         return load() < Math.max(1, allowed);
     }
 
-    /** Returns requests that run or wait there, the report corrected by what was sent since. */
+    /**
+     * Returns the number of requests that run or wait there: the announced load, corrected by this
+     * host's dispatches since.
+     */
     int load() {
         int reported = report.load().running() + report.load().queued();
         return Math.max(inFlight, reported + sentSinceReport - endedSinceReport);
@@ -106,7 +112,7 @@
             }
             case FAILED -> failed(probe, now);
             case WITHDRAWN -> {
-                // This says nothing of the upstream.
+                // This shows nothing about the upstream.
             }
         }
     }
@@ -118,7 +124,7 @@
         readmitIfEjected(now);
     }
 
-    /** Any answer, also that it is too busy, shows that the upstream is there. */
+    /** Any answer, also one that reports overload, shows that the upstream is reachable. */
     private void readmitIfEjected(long now) {
         if (ejected) {
             ejected = false;
--- a/stackhall-core/src/test/java/io/stackhall/core/routing/Announcements.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/routing/Announcements.java
@@ -13,7 +13,7 @@
 
     private Announcements() {}
 
-    /** Returns what an engine says that holds one model and runs some requests. */
+    /** Returns the announcement of an engine that holds one model and runs some requests. */
     public static Announcement engine(
             String id, long sequence, String model, int slots, int running) {
         return new Announcement(
