--- a/stackhall-core/src/main/java/io/stackhall/core/admission/FairQueue.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/FairQueue.java
@@ -8,20 +8,22 @@
 import java.util.PriorityQueue;
 
 /**
- * The requests of one target and priority that wait, fair between callers: the caller served least
- * comes first, and of each caller the request with the earliest deadline.
+ * The waiting requests of one target and priority, with fair queuing between callers: the caller
+ * that has received the least service comes first, and of each caller the request with the earliest
+ * deadline.
  */
 final class FairQueue {
 
-    private final Map<CustomerId, Line> lines = new HashMap<>();
+    private final Map<CustomerId, CallerQueue> queues = new HashMap<>();
     private double virtualTime;
     private int size;
 
-    private static final class Line {
-        private final PriorityQueue<Waiting> waiting =
+    private static final class CallerQueue {
+        private final PriorityQueue<PendingRequest> waiting =
                 new PriorityQueue<>(
-                        Comparator.comparingLong((Waiting item) -> item.arrival().deadline()));
-        private double served;
+                        Comparator.comparingLong(
+                                (PendingRequest item) -> item.arrival().deadline()));
+        private double virtualTime;
     }
 
     int size() {
@@ -32,50 +34,52 @@
         return size == 0;
     }
 
-    void add(Waiting waiting) {
-        Line line = lines.computeIfAbsent(waiting.arrival().caller(), key -> new Line());
-        if (line.waiting.isEmpty()) {
-            line.served = Math.max(line.served, virtualTime);
+    void add(PendingRequest waiting) {
+        CallerQueue queue =
+                queues.computeIfAbsent(waiting.arrival().caller(), key -> new CallerQueue());
+        if (queue.waiting.isEmpty()) {
+            queue.virtualTime = Math.max(queue.virtualTime, virtualTime);
         }
-        line.waiting.add(waiting);
+        queue.waiting.add(waiting);
         size++;
     }
 
-    Optional<Waiting> peek() {
-        return next().map(line -> line.waiting.peek());
+    Optional<PendingRequest> peek() {
+        return leastServed().map(queue -> queue.waiting.peek());
     }
 
-    /** Removes the request that {@link #peek()} returns and charges its caller for it. */
+    /** Removes the request that {@link #peek()} returns and charges its cost to the caller. */
     void take(double cost) {
-        Line line = next().orElseThrow(() -> new IllegalStateException("nothing waits"));
-        virtualTime = line.served;
-        line.served += cost;
-        Waiting taken = line.waiting.remove();
-        dropIfEmpty(taken, line);
+        CallerQueue queue =
+                leastServed().orElseThrow(() -> new IllegalStateException("nothing waits"));
+        virtualTime = queue.virtualTime;
+        queue.virtualTime += cost;
+        PendingRequest taken = queue.waiting.remove();
+        dropIfEmpty(taken, queue);
     }
 
-    boolean remove(Waiting waiting) {
-        Line line = lines.get(waiting.arrival().caller());
-        if (line == null || !line.waiting.remove(waiting)) {
+    boolean remove(PendingRequest waiting) {
+        CallerQueue queue = queues.get(waiting.arrival().caller());
+        if (queue == null || !queue.waiting.remove(waiting)) {
             return false;
         }
-        dropIfEmpty(waiting, line);
+        dropIfEmpty(waiting, queue);
         return true;
     }
 
-    private void dropIfEmpty(Waiting removed, Line line) {
+    private void dropIfEmpty(PendingRequest removed, CallerQueue queue) {
         size--;
-        if (line.waiting.isEmpty() && line.served <= virtualTime) {
-            lines.remove(removed.arrival().caller());
+        if (queue.waiting.isEmpty() && queue.virtualTime <= virtualTime) {
+            queues.remove(removed.arrival().caller());
         }
         if (size == 0) {
-            lines.clear();
+            queues.clear();
         }
     }
 
-    private Optional<Line> next() {
-        return lines.values().stream()
-                .filter(line -> !line.waiting.isEmpty())
-                .min(Comparator.comparingDouble(line -> line.served));
+    private Optional<CallerQueue> leastServed() {
+        return queues.values().stream()
+                .filter(queue -> !queue.waiting.isEmpty())
+                .min(Comparator.comparingDouble(queue -> queue.virtualTime));
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/admission/Waiting.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/admission/PendingRequest.java
@@ -4,17 +4,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that waits or runs, with what its attempts have shown. */
-final class Waiting {
+/** A request that waits or runs, with the results of its attempts. */
+final class PendingRequest {
 
     private final Arrival arrival;
     private final List<UpstreamId> failedOn = new ArrayList<>(0);
     private UpstreamId runningOn;
     private long sentAt;
     private int attempts;
-    private boolean maybeRan;
+    private boolean mayHaveRun;
 
-    Waiting(Arrival arrival) {
+    PendingRequest(Arrival arrival) {
         this.arrival = arrival;
     }
 
@@ -38,8 +38,8 @@
         return sentAt;
     }
 
-    boolean maybeRan() {
-        return maybeRan;
+    boolean mayHaveRun() {
+        return mayHaveRun;
     }
 
     void sent(UpstreamId upstream, long now) {
@@ -48,12 +48,12 @@
         attempts++;
     }
 
-    /** Notes the end of an attempt and returns where it ran. */
+    /** Records the end of an attempt and returns its upstream. */
     UpstreamId ended(boolean provedNotRun) {
         UpstreamId upstream = runningOn;
         runningOn = null;
         failedOn.add(upstream);
-        maybeRan |= !provedNotRun;
+        mayHaveRun |= !provedNotRun;
         return upstream;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/customer/KeyAccess.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/customer/KeyAccess.java
@@ -2,45 +2,46 @@
 
 import java.util.List;
 
-/** Judges whose request one is by the key that it carries. */
+/** Authenticates requests by the keys that they carry. */
 public final class KeyAccess {
 
     private KeyAccess() {}
 
-    /** Whose request one is. */
+    /** The result of authenticating a request. */
     public sealed interface Verdict {
 
-        /** Nobody's in particular: it needs no key. */
+        /** It needs no key and is not attributed to a customer. */
         record Anyone() implements Verdict {}
 
-        /** A customer's. */
+        /** It carries a customer's key. */
         record Of(Customer customer) implements Verdict {}
 
-        /** It may not be run. */
+        /** It is refused. */
         record Unknown(String reason) implements Verdict {}
 
-        /** This host cannot tell now whether its key still holds. */
+        /** This host cannot determine whether the request's key is still valid. */
         record Uncertain() implements Verdict {}
     }
 
     /**
-     * Judges. A route that is open to everybody needs no key, but a good one is a customer's there
-     * as well.
+     * Authenticates a request. An open route requires no key, but a valid one still attributes the
+     * request to its customer.
      *
-     * @param open whether the request's route is open to everybody
+     * @param open whether the request's route requires no key
      * @param keys the keys that the request carries
-     * @param trusted whether the host may rely on the keys that it knows
+     * @param trusted whether this host's knowledge of keys is valid, see {@link KeyLease}
      */
-    public static Verdict judge(
+    public static Verdict authenticate(
             Customers customers, boolean open, List<KeyDigest> keys, boolean trusted) {
-        if (!customers.keysNeeded()) {
+        if (!customers.keysRequired()) {
             return new Verdict.Anyone();
         }
-        Verdict strict = judgeKeys(customers, keys, trusted);
+        Verdict strict = authenticateKeys(customers, keys, trusted);
         return open && !(strict instanceof Verdict.Of) ? new Verdict.Anyone() : strict;
     }
 
-    private static Verdict judgeKeys(Customers customers, List<KeyDigest> keys, boolean trusted) {
+    private static Verdict authenticateKeys(
+            Customers customers, List<KeyDigest> keys, boolean trusted) {
         if (keys.size() != 1) {
             String reason = keys.isEmpty() ? "it carries no key" : "it carries several keys";
             return new Verdict.Unknown(reason);
@@ -49,7 +50,7 @@
             return new Verdict.Uncertain();
         }
         return customers
-                .holding(keys.getFirst())
+                .findByKey(keys.getFirst())
                 .<Verdict>map(Verdict.Of::new)
                 .orElse(new Verdict.Unknown("its key is not known"));
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/CrashLedger.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/CrashLedger.java
@@ -14,207 +14,237 @@
 import java.util.Set;
 
 /**
- * Which requests end the instances that run them, from what all hosts have seen.
+ * Determines which requests crash the instances that run them, from the reports of all hosts.
  *
- * <p>Load pattern: a request ends each instance that begins to run it, together with everything
- * else that runs there, and its caller sends it again under new names to any host. Without memory
- * across tries and hosts, 30 lives of four instances ended within 8 s (a process test with three
- * entry hosts).
+ * <p>Load pattern: a request crashes each instance that begins to run it, together with everything
+ * else that runs there, and its caller sends it again under a new id to any host. Without a memory
+ * across attempts and hosts, 30 incarnations of four instances crashed within 8 s (a process test
+ * with three entry hosts).
  *
- * <p>A life that ends is held once against every request that was under way there. What a request
- * shares with one life that ended it shares with many innocent ones. The second such life tells
- * them apart: whoever alone among those that were there has been at another end too has ended both.
- * Where several have, the third end decides. A run that ends without harm takes back what was held
- * against a request before.
+ * <p>Each crash counts once against every request that was in progress on the instance. One crash
+ * does not distinguish the cause from the innocent requests beside it. The second one does: if
+ * exactly one of the requests of a crash was also in another crash, that request caused both. If
+ * several were, the third crash decides. A run that ends without a crash clears a request of the
+ * crashes before it.
  *
- * <p>Merging is commutative: hosts that have heard the same agree, in whatever order it came.
+ * <p>Merging is commutative: hosts that have received the same reports agree, in whatever order
+ * these arrived.
  *
  * <p>Not thread-safe: one thread uses it.
  */
 public final class CrashLedger {
 
-    /** The first end leaves a doubt among many, the second mostly none; a third is no chance. */
-    private static final int CERTAIN = 3;
+    /**
+     * Crashes that condemn a request without comparison to others. One crash has many possible
+     * causes, and two mostly have one; three with the same request are no coincidence.
+     */
+    private static final int CONDEMNING_CRASHES = 3;
 
-    /** A caller who repeats a request does so within the minute for which callers wait at most. */
-    private static final Duration SUSPICION = Duration.ofMinutes(2);
+    /**
+     * A caller that repeats a request does so within a minute, since callers wait no longer than
+     * that.
+     */
+    private static final Duration SUSPICION_DURATION = Duration.ofMinutes(2);
 
     /**
-     * An instance that ends is away for some ten seconds: tried once in ten minutes, a request that
-     * still ends it costs less than a fiftieth of one instance.
+     * A crashed instance is unavailable for about 10 s. A request that still crashes instances and
+     * is tried once in ten minutes costs less than a fiftieth of one instance.
      */
-    private static final Duration SENTENCE = Duration.ofMinutes(10);
+    private static final Duration SENTENCE_DURATION = Duration.ofMinutes(10);
 
-    /** Fifty instances that end at once with eighty requests each; some two megabytes. */
-    private static final int MOST_REQUESTS = 4000;
+    /**
+     * Fifty instances that crash at once with eighty requests each; the entries take about 2 MB.
+     */
+    private static final int MAX_REQUESTS = 4000;
 
-    private final Map<RequestDigest, Evidence> requests = new LinkedHashMap<>();
-    private final Map<UpstreamId, Set<RequestDigest>> byLife = new HashMap<>();
+    private final Map<RequestDigest, Evidence> evidenceByRequest = new LinkedHashMap<>();
+    private final Map<UpstreamId, Set<RequestDigest>> byIncarnation = new HashMap<>();
 
     /**
-     * Notes that a life has ended by itself.
+     * Records a crash.
      *
      * @param now the monotonic clock, in nanoseconds
-     * @return whether anything of it is new
+     * @return whether any part of the report is new
      */
-    public boolean crashed(Crash crash, long now) {
-        boolean news = false;
+    public boolean recordCrash(Crash crash, long now) {
+        boolean changed = false;
         for (RequestDigest request : crash.requests()) {
             Evidence evidence = evidence(request);
-            if (evidence.crashed(crash.life(), now)) {
-                byLife.computeIfAbsent(crash.life(), life -> new HashSet<>()).add(request);
-                news = true;
+            if (evidence.addCrash(crash.incarnation(), now)) {
+                byIncarnation
+                        .computeIfAbsent(crash.incarnation(), incarnation -> new HashSet<>())
+                        .add(request);
+                changed = true;
             }
         }
-        bound();
-        return news;
+        evictOldest();
+        return changed;
     }
 
     /**
-     * Notes that a request has run to an end without harm.
+     * Records that a request has ended without a crash.
      *
-     * @return what this takes back, if anything was held against it
+     * @return the acquittal to send to other hosts, if crashes were attributed to the request
      */
-    public Optional<Acquittal> endedWell(RequestDigest request) {
-        Evidence evidence = requests.get(request);
-        if (evidence == null || evidence.lives().isEmpty()) {
+    public Optional<Acquittal> recordHarmlessEnd(RequestDigest request) {
+        Evidence evidence = evidenceByRequest.get(request);
+        if (evidence == null || evidence.incarnations().isEmpty()) {
             return Optional.empty();
         }
-        Acquittal acquittal = new Acquittal(request, evidence.lives());
-        acquitted(acquittal);
+        Acquittal acquittal = new Acquittal(request, evidence.incarnations());
+        applyAcquittal(acquittal);
         return Optional.of(acquittal);
     }
 
     /**
-     * Takes in what another host has taken back.
+     * Applies an acquittal, from this host or another one.
      *
-     * @return whether it is new
+     * @return whether it changes anything here
      */
-    public boolean acquitted(Acquittal acquittal) {
-        acquittal.lives().forEach(life -> forget(life, acquittal.request()));
-        boolean news = evidence(acquittal.request()).acquit(acquittal.lives());
-        bound();
-        return news;
+    public boolean applyAcquittal(Acquittal acquittal) {
+        acquittal
+                .incarnations()
+                .forEach(incarnation -> removeFromIncarnation(incarnation, acquittal.request()));
+        boolean changed = evidence(acquittal.request()).acquit(acquittal.incarnations());
+        evictOldest();
+        return changed;
     }
 
     /**
-     * Takes over what all hosts have agreed to refuse. What a host that lags behind does not name
-     * is not taken back by that.
+     * Adds the requests that all hosts have agreed to refuse. A request that is missing from the
+     * collection stays refused, since the host that sent it may lag behind.
      *
-     * @return the requests that are refused from now on
+     * @param now the monotonic clock, in nanoseconds
+     * @return the requests that are newly refused
      */
-    public List<RequestDigest> sentenced(Collection<RequestDigest> all, long now) {
-        List<RequestDigest> news = new ArrayList<>();
+    public List<RequestDigest> applySentences(Collection<RequestDigest> all, long now) {
+        List<RequestDigest> added = new ArrayList<>();
         for (RequestDigest request : all) {
             if (evidence(request).sentence(now)) {
-                news.add(request);
+                added.add(request);
             }
         }
-        bound();
-        return news;
+        evictOldest();
+        return added;
     }
 
-    /** Takes over what all hosts have agreed to refuse no more. */
-    public void lifted(Collection<RequestDigest> all) {
+    /** Revokes sentences that all hosts have agreed to lift. */
+    public void liftSentences(Collection<RequestDigest> all) {
         for (RequestDigest request : all) {
-            Evidence evidence = requests.get(request);
+            Evidence evidence = evidenceByRequest.get(request);
             if (evidence != null) {
                 evidence.lift();
             }
         }
     }
 
-    /** Returns how a request stands. */
+    /**
+     * Returns the standing of a request.
+     *
+     * @param now the monotonic clock, in nanoseconds
+     */
     public Standing standing(RequestDigest request, long now) {
-        Evidence evidence = requests.get(request);
+        Evidence evidence = evidenceByRequest.get(request);
         if (evidence == null) {
             return new Standing.Clear();
         }
-        Duration age = Duration.ofNanos(now - evidence.since());
-        boolean certain = isCertain(request, evidence);
-        if (certain && age.compareTo(SENTENCE) < 0) {
-            return new Standing.Condemned(SENTENCE.minus(age));
+        Duration age = Duration.ofNanos(now - evidence.changedAt());
+        boolean convicted = isConvicted(request, evidence);
+        if (convicted && age.compareTo(SENTENCE_DURATION) < 0) {
+            return new Standing.Condemned(SENTENCE_DURATION.minus(age));
         }
-        Duration counts = certain ? SENTENCE.multipliedBy(2) : SUSPICION;
-        boolean held = certain || !evidence.lives().isEmpty();
-        return held && age.compareTo(counts) < 0
-                ? new Standing.Suspect(evidence.lives().size())
+        Duration lasting = convicted ? SENTENCE_DURATION.multipliedBy(2) : SUSPICION_DURATION;
+        boolean attributed = convicted || !evidence.incarnations().isEmpty();
+        return attributed && age.compareTo(lasting) < 0
+                ? new Standing.Suspect(evidence.incarnations().size())
                 : new Standing.Clear();
     }
 
-    /** Returns the requests that are refused now. */
+    /** Returns the requests that are refused at a moment. */
     public List<RequestDigest> condemned(long now) {
-        return requests.keySet().stream()
+        return evidenceByRequest.keySet().stream()
                 .filter(request -> standing(request, now) instanceof Standing.Condemned)
                 .toList();
     }
 
-    /** Returns the lives that are held against a request. */
-    public Set<UpstreamId> lives(RequestDigest request) {
-        Evidence evidence = requests.get(request);
-        return evidence == null ? Set.of() : Set.copyOf(evidence.lives());
+    /** Returns the incarnations whose crashes are attributed to a request. */
+    public Set<UpstreamId> incarnations(RequestDigest request) {
+        Evidence evidence = evidenceByRequest.get(request);
+        return evidence == null ? Set.of() : Set.copyOf(evidence.incarnations());
     }
 
-    /** Returns the ends of lives that are held against requests, for a host that knows none. */
+    /** Returns the crashes that are attributed to requests, to bring another host up to date. */
     public List<Crash> crashes() {
         List<Crash> all = new ArrayList<>();
-        byLife.forEach((life, those) -> all.add(new Crash(life, those)));
+        byIncarnation.forEach((incarnation, requests) -> all.add(new Crash(incarnation, requests)));
         return all;
     }
 
-    /** Forgets what no longer counts. */
+    /** Removes entries that no longer affect the standing of a request. */
     public void sweep(long now) {
-        for (Iterator<Map.Entry<RequestDigest, Evidence>> all = requests.entrySet().iterator();
+        for (Iterator<Map.Entry<RequestDigest, Evidence>> all =
+                        evidenceByRequest.entrySet().iterator();
                 all.hasNext(); ) {
             Map.Entry<RequestDigest, Evidence> entry = all.next();
-            Duration age = Duration.ofNanos(now - entry.getValue().since());
-            if (age.compareTo(SENTENCE.multipliedBy(2)) > 0
+            Duration age = Duration.ofNanos(now - entry.getValue().changedAt());
+            if (age.compareTo(SENTENCE_DURATION.multipliedBy(2)) > 0
                     && standing(entry.getKey(), now) instanceof Standing.Clear) {
                 all.remove();
-                entry.getValue().lives().forEach(life -> forget(life, entry.getKey()));
+                entry.getValue()
+                        .incarnations()
+                        .forEach(incarnation -> removeFromIncarnation(incarnation, entry.getKey()));
             }
         }
     }
 
-    /** Returns how many requests something is or was held against. */
+    /** Returns the number of requests with an entry, acquitted ones included. */
     public int size() {
-        return requests.size();
+        return evidenceByRequest.size();
     }
 
-    private boolean isCertain(RequestDigest request, Evidence evidence) {
-        if (evidence.sentenced() || evidence.lives().size() >= CERTAIN) {
+    private boolean isConvicted(RequestDigest request, Evidence evidence) {
+        if (evidence.sentenced() || evidence.incarnations().size() >= CONDEMNING_CRASHES) {
             return true;
         }
-        return evidence.lives().size() > 1
-                && evidence.lives().stream().anyMatch(life -> isAloneInDoubt(request, life));
+        return evidence.incarnations().size() > 1
+                && evidence.incarnations().stream()
+                        .anyMatch(incarnation -> isOnlyRepeatedCandidate(request, incarnation));
     }
 
-    /** Returns whether nobody else who was at the end of a life was at another one too. */
-    private boolean isAloneInDoubt(RequestDigest request, UpstreamId life) {
-        return byLife.getOrDefault(life, Set.of()).stream()
+    /** Returns whether no other request of this crash was in a second crash. */
+    private boolean isOnlyRepeatedCandidate(RequestDigest request, UpstreamId incarnation) {
+        return byIncarnation.getOrDefault(incarnation, Set.of()).stream()
                 .noneMatch(
-                        other -> !other.equals(request) && requests.get(other).lives().size() > 1);
+                        other ->
+                                !other.equals(request)
+                                        && evidenceByRequest.get(other).incarnations().size() > 1);
     }
 
     private Evidence evidence(RequestDigest request) {
-        return requests.computeIfAbsent(request, key -> new Evidence());
+        return evidenceByRequest.computeIfAbsent(request, key -> new Evidence());
     }
 
-    private void forget(UpstreamId life, RequestDigest request) {
-        Set<RequestDigest> those = byLife.get(life);
-        if (those != null && those.remove(request) && those.isEmpty()) {
-            byLife.remove(life);
+    private void removeFromIncarnation(UpstreamId incarnation, RequestDigest request) {
+        Set<RequestDigest> requests = byIncarnation.get(incarnation);
+        if (requests != null && requests.remove(request) && requests.isEmpty()) {
+            byIncarnation.remove(incarnation);
         }
     }
 
-    /** What was noted first gives way, but for requests that all hosts have agreed to refuse. */
-    private void bound() {
-        Iterator<Map.Entry<RequestDigest, Evidence>> eldest = requests.entrySet().iterator();
-        while (requests.size() > MOST_REQUESTS && eldest.hasNext()) {
+    /**
+     * Evicts the oldest entries beyond the bound, except for requests that all hosts have agreed to
+     * refuse.
+     */
+    private void evictOldest() {
+        Iterator<Map.Entry<RequestDigest, Evidence>> eldest =
+                evidenceByRequest.entrySet().iterator();
+        while (evidenceByRequest.size() > MAX_REQUESTS && eldest.hasNext()) {
             Map.Entry<RequestDigest, Evidence> entry = eldest.next();
             if (!entry.getValue().sentenced()) {
                 eldest.remove();
-                entry.getValue().lives().forEach(life -> forget(life, entry.getKey()));
+                entry.getValue()
+                        .incarnations()
+                        .forEach(incarnation -> removeFromIncarnation(incarnation, entry.getKey()));
             }
         }
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/quarantine/Evidence.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/quarantine/Evidence.java
@@ -4,40 +4,40 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What is held against one request. */
+/** The crashes that are attributed to one request, and its acquittals and sentence. */
 final class Evidence {
 
-    private final Set<UpstreamId> lives = new HashSet<>();
-    private final Set<UpstreamId> acquittedOf = new HashSet<>();
+    private final Set<UpstreamId> incarnations = new HashSet<>();
+    private final Set<UpstreamId> acquittedIncarnations = new HashSet<>();
     private boolean sentenced;
-    private long since;
+    private long changedAt;
 
-    /** Returns whether this life is newly held against it. */
-    boolean crashed(UpstreamId life, long now) {
-        if (acquittedOf.contains(life) || !lives.add(life)) {
+    /** Adds a crash and returns whether it is newly attributed to the request. */
+    boolean addCrash(UpstreamId incarnation, long now) {
+        if (acquittedIncarnations.contains(incarnation) || !incarnations.add(incarnation)) {
             return false;
         }
-        since = now;
+        changedAt = now;
         return true;
     }
 
-    /** Returns whether this has taken anything back. */
-    boolean acquit(Set<UpstreamId> of) {
-        boolean changed = acquittedOf.addAll(of);
-        return lives.removeAll(of) || changed;
+    /** Clears the request of crashes and returns whether that changes anything. */
+    boolean acquit(Set<UpstreamId> cleared) {
+        boolean changed = acquittedIncarnations.addAll(cleared);
+        return incarnations.removeAll(cleared) || changed;
     }
 
-    /** Returns whether the sentence is new here. */
+    /** Condemns the request and returns whether it was not condemned yet. */
     boolean sentence(long now) {
         if (sentenced) {
             return false;
         }
         sentenced = true;
-        since = now;
+        changedAt = now;
         return true;
     }
 
-    /** Takes the sentence of all hosts back. */
+    /** Revokes the sentence that all hosts had agreed on. */
     void lift() {
         sentenced = false;
     }
@@ -46,13 +46,13 @@
         return sentenced;
     }
 
-    /** Returns the lives that ended under it. */
-    Set<UpstreamId> lives() {
-        return lives;
+    /** Returns the incarnations whose crashes are attributed to the request. */
+    Set<UpstreamId> incarnations() {
+        return incarnations;
     }
 
-    /** Returns when something was last added, on the monotonic clock in nanoseconds. */
-    long since() {
-        return since;
+    /** Returns when a crash or a sentence was last added, on the monotonic clock in nanoseconds. */
+    long changedAt() {
+        return changedAt;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/routing/RetryBudget.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/routing/RetryBudget.java
@@ -1,12 +1,9 @@
 package io.stackhall.core.routing;
 
-/**
- * Bounds retries to a share of the traffic, so that a failing back end is not hit harder for
- * failing.
- */
+/** Limits retries to a share of the traffic, so that retries do not overload a failing upstream. */
 public final class RetryBudget {
 
-    private static final double HIGHEST = 100;
+    private static final double MAX_TOKENS = 100;
 
     private final double share;
     private double tokens;
@@ -25,9 +22,9 @@
         this.tokens = reserve;
     }
 
-    /** Notes a first attempt. */
-    public void attempted() {
-        tokens = Math.min(HIGHEST, tokens + share);
+    /** Records a first attempt, which adds to the budget. */
+    public void recordFirstAttempt() {
+        tokens = Math.min(MAX_TOKENS, tokens + share);
     }
 
     /** Takes a retry from the budget if one is left. */
--- a/stackhall-core/src/main/java/io/stackhall/core/routing/Router.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/routing/Router.java
@@ -10,13 +10,13 @@
 /**
  * Chooses an upstream for a request.
  *
- * <p>Only upstreams that hold the model come into question. One that reports the request's prefix
- * in its cache is preferred while it is not much busier. Otherwise two are drawn at random and the
- * one with the shorter expected wait is taken, so that many entry hosts with the same late reports
+ * <p>Only upstreams that hold the model are candidates. One that reports the request's prefix in
+ * its cache is preferred while it is not much busier. Otherwise two are drawn at random and the one
+ * with the shorter expected wait is taken, so that many entry hosts with the same outdated reports
  * do not all choose the same one.
  *
- * <p>Hosts of other zones count as upstreams where this zone cannot serve a request: those whose
- * zone holds the model, or any with engines if this zone has none left to load it.
+ * <p>Hosts of other zones are candidates if this zone cannot serve a request: those whose zone
+ * holds the model, or any with engines if this zone has none left to load it.
  *
  * @see io.stackhall.core.membership.Neighbours
  */
@@ -25,49 +25,49 @@
     private static final double AFFINITY_TOLERANCE = 0.5;
 
     private final RandomGenerator random;
-    private final TargetIndex own;
-    private final TargetIndex elsewhere;
+    private final TargetIndex ownZone;
+    private final TargetIndex otherZones;
     private Configuration configuration = Configuration.initial();
 
     /** Creates a router that knows no upstream. */
     public Router(RoutingSettings settings, RandomGenerator random) {
         this.random = random;
-        this.own = new TargetIndex(settings);
-        this.elsewhere = new TargetIndex(settings);
+        this.ownZone = new TargetIndex(settings);
+        this.otherZones = new TargetIndex(settings);
     }
 
-    /** Takes the latest announcement of an upstream of this zone. */
+    /** Updates an upstream of this zone from its latest announcement. */
     public void announced(Announcement announcement, long now) {
-        own.announced(announcement, now).draining(isDraining(announcement.id()));
+        ownZone.announced(announcement, now).draining(isDraining(announcement.id()));
     }
 
-    /** Forgets an upstream of this zone that has been silent for too long. */
+    /** Removes an upstream of this zone that has not announced itself for too long. */
     public void lost(UpstreamId upstream) {
-        own.lost(upstream);
+        ownZone.lost(upstream);
     }
 
-    /** Takes the latest announcement of another zone's host. */
+    /** Updates another zone's host from its latest announcement. */
     public void neighbourAnnounced(Announcement announcement, long now) {
-        elsewhere.announced(announcement, now);
+        otherZones.announced(announcement, now);
     }
 
-    /** Forgets another zone's host that has been silent for too long. */
+    /** Removes another zone's host that has not announced itself for too long. */
     public void neighbourLost(UpstreamId neighbour) {
-        elsewhere.lost(neighbour);
+        otherZones.lost(neighbour);
     }
 
-    /** Takes the configuration in force. */
+    /** Applies a configuration. */
     public void configured(Configuration next) {
         configuration = next;
-        own.all().forEach(state -> state.draining(isDraining(state.id())));
+        ownZone.all().forEach(state -> state.draining(isDraining(state.id())));
     }
 
-    /** Returns whether an upstream that takes new work could serve a request. */
+    /** Returns whether an upstream that accepts new requests could serve a request. */
     public boolean reachable(RoutingRequest request, long now) {
         return anyTakes(candidates(request, now), request, now);
     }
 
-    /** Returns how many requests like this one the upstreams run at once. */
+    /** Returns the number of slots of the upstreams that could serve a request. */
     public int slots(RoutingRequest request, long now) {
         int sum = 0;
         for (UpstreamState state : candidates(request, now)) {
@@ -78,7 +78,7 @@
         return sum;
     }
 
-    /** Chooses an upstream with room for a request, if there is one. */
+    /** Chooses an upstream below its limit for a request; empty if there is none. */
     public Optional<UpstreamId> choose(RoutingRequest request, long now) {
         List<UpstreamState> candidates = candidates(request, now);
         int count = candidates.size();
@@ -97,13 +97,13 @@
         return Optional.of(best.id());
     }
 
-    /** Notes that a request was sent to an upstream. */
+    /** Records that a request was sent to an upstream. */
     public void sent(UpstreamId upstream) {
         find(upstream).ifPresent(UpstreamState::sent);
     }
 
-    /** Notes how a request on an upstream ended. */
-    public void ended(UpstreamId upstream, Ending ending, long now) {
+    /** Records the end of a request on an upstream. */
+    public void ended(UpstreamId upstream, AttemptResult ending, long now) {
         find(upstream).ifPresent(state -> state.ended(ending, now));
     }
 
@@ -113,7 +113,7 @@
     }
 
     private Optional<UpstreamState> find(UpstreamId upstream) {
-        return own.find(upstream).or(() -> elsewhere.find(upstream));
+        return ownZone.find(upstream).or(() -> otherZones.find(upstream));
     }
 
     private boolean isDraining(UpstreamId upstream) {
@@ -121,16 +121,16 @@
     }
 
     private List<UpstreamState> candidates(RoutingRequest request, long now) {
-        List<UpstreamState> here = own.holders(request.target());
+        List<UpstreamState> here = ownZone.upstreamsFor(request.target());
         if (request.reach() == Reach.ZONE || anyTakes(here, request, now)) {
             return here;
         }
-        List<UpstreamState> there = elsewhere.holders(request.target());
+        List<UpstreamState> there = otherZones.upstreamsFor(request.target());
         if (anyTakes(there, request, now)) {
             return there;
         }
         boolean loadable = request.target() instanceof Target.Model;
-        return loadable && !own.hasEngine(now) ? elsewhere.engines(now) : here;
+        return loadable && !ownZone.hasEngine(now) ? otherZones.engines(now) : here;
     }
 
     private static boolean anyTakes(List<UpstreamState> states, RoutingRequest request, long now) {
@@ -146,7 +146,7 @@
         return state.takesNewWork(now) && !request.avoided().contains(state.id());
     }
 
-    /** Returns the first usable candidate from a drawn place on. */
+    /** Returns the first usable candidate from a start index on, or null. */
     private static UpstreamState draw(
             List<UpstreamState> candidates, int start, RoutingRequest request, long now) {
         int count = candidates.size();
--- a/stackhall-core/src/test/java/io/stackhall/core/quarantine/CrashLedgerProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/quarantine/CrashLedgerProperties.java
@@ -14,45 +14,47 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Word of ends and acquittals in any order, late and twice. */
+/** Crashes and acquittals that are reported in any order, late and twice. */
 class CrashLedgerProperties {
 
     private static final int REQUESTS = 5;
-    private static final int LIVES = 4;
+    private static final int INCARNATIONS = 4;
 
-    /** One thing that a host tells. */
-    record Word(boolean crash, int life, int request) {
+    /** A report of another host. */
+    record Notice(boolean crash, int incarnation, int request) {
 
-        private void tell(CrashLedger ledger) {
-            Set<UpstreamId> lives = Set.of(new UpstreamId("i-" + life));
+        private void applyTo(CrashLedger ledger) {
+            Set<UpstreamId> incarnations = Set.of(new UpstreamId("i-" + incarnation));
             if (crash) {
-                ledger.crashed(new Crash(lives.iterator().next(), Set.of(digest(request))), 0);
+                ledger.recordCrash(
+                        new Crash(incarnations.iterator().next(), Set.of(digest(request))), 0);
             } else {
-                ledger.acquitted(new Acquittal(digest(request), lives));
+                ledger.applyAcquittal(new Acquittal(digest(request), incarnations));
             }
         }
     }
 
     @Property
-    void hostsThatHaveHeardTheSameAgree(@ForAll("words") List<Word> words, @ForAll long seed) {
-        List<Word> others = new ArrayList<>(words);
-        others.addAll(words);
-        Collections.shuffle(others, new Random(seed));
-        assertThat(standings(others)).isEqualTo(standings(words));
+    void hostsThatReceiveTheSameNoticesAgree(
+            @ForAll("notices") List<Notice> notices, @ForAll long seed) {
+        List<Notice> shuffled = new ArrayList<>(notices);
+        shuffled.addAll(notices);
+        Collections.shuffle(shuffled, new Random(seed));
+        assertThat(standings(shuffled)).isEqualTo(standings(notices));
     }
 
     @Property
-    void whoWasAtOneEndAtMostIsNeverCondemned(@ForAll("words") List<Word> words) {
-        CrashLedger ledger = ledger(words);
+    void requestInAtMostOneCrashIsNeverCondemned(@ForAll("notices") List<Notice> notices) {
+        CrashLedger ledger = ledger(notices);
         for (int number = 0; number < REQUESTS; number++) {
             int request = number;
-            long ends =
-                    words.stream()
-                            .filter(word -> word.crash() && word.request() == request)
-                            .map(Word::life)
+            long crashes =
+                    notices.stream()
+                            .filter(notice -> notice.crash() && notice.request() == request)
+                            .map(Notice::incarnation)
                             .distinct()
                             .count();
-            if (ends <= 1) {
+            if (crashes <= 1) {
                 assertThat(ledger.standing(digest(request), 0))
                         .isNotInstanceOf(Standing.Condemned.class);
             }
@@ -60,31 +62,31 @@
     }
 
     @Property
-    void whoWasAtThreeEndsAndNeverEndedWellIsCondemned(@ForAll("words") List<Word> words) {
-        List<Word> all = new ArrayList<>(words);
-        for (int life = 0; life < 3; life++) {
-            all.add(new Word(true, life, REQUESTS));
+    void requestInThreeCrashesWithoutAcquittalIsCondemned(@ForAll("notices") List<Notice> notices) {
+        List<Notice> all = new ArrayList<>(notices);
+        for (int incarnation = 0; incarnation < 3; incarnation++) {
+            all.add(new Notice(true, incarnation, REQUESTS));
         }
         assertThat(ledger(all).standing(digest(REQUESTS), 0))
                 .isInstanceOf(Standing.Condemned.class);
     }
 
     @Provide
-    Arbitrary<List<Word>> words() {
-        Arbitrary<Word> word =
+    Arbitrary<List<Notice>> notices() {
+        Arbitrary<Notice> notice =
                 Arbitraries.integers()
-                        .between(0, 4 * LIVES * REQUESTS - 1)
+                        .between(0, 4 * INCARNATIONS * REQUESTS - 1)
                         .map(
                                 drawn ->
-                                        new Word(
+                                        new Notice(
                                                 drawn % 4 > 0,
-                                                drawn / 4 % LIVES,
-                                                drawn / 4 / LIVES));
-        return word.list().ofMaxSize(30);
+                                                drawn / 4 % INCARNATIONS,
+                                                drawn / 4 / INCARNATIONS));
+        return notice.list().ofMaxSize(30);
     }
 
-    private static List<Standing> standings(List<Word> words) {
-        CrashLedger ledger = ledger(words);
+    private static List<Standing> standings(List<Notice> notices) {
+        CrashLedger ledger = ledger(notices);
         List<Standing> all = new ArrayList<>();
         for (int request = 0; request < REQUESTS; request++) {
             all.add(ledger.standing(digest(request), 0));
@@ -92,9 +94,9 @@
         return all;
     }
 
-    private static CrashLedger ledger(List<Word> words) {
+    private static CrashLedger ledger(List<Notice> notices) {
         CrashLedger ledger = new CrashLedger();
-        words.forEach(word -> word.tell(ledger));
+        notices.forEach(notice -> notice.applyTo(ledger));
         return ledger;
     }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/replication/RoutesAfterRestartProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/replication/RoutesAfterRestartProperties.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.stackhall.core.route.RoutesTrust;
+import io.stackhall.core.route.RoutesConfirmation;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -43,7 +43,7 @@
 
     /** One incarnation of an entry host. */
     private static final class EntryHost {
-        private final RoutesTrust trust = new RoutesTrust(CONFIRMATION_TIMEOUT);
+        private final RoutesConfirmation trust = new RoutesConfirmation(CONFIRMATION_TIMEOUT);
         private final long acknowledgedBefore;
         private final String primary;
         private long inForce = NONE;
@@ -149,10 +149,10 @@
                     continue;
                 }
                 long latest = newest(control.applied);
-                entry.trust.heard(latest, now);
+                entry.trust.reported(latest, now);
                 boolean sendsConfiguration = name.equals(entry.primary) || name.equals(queriedHost);
                 if (sendsConfiguration && latest > entry.trust.held()) {
-                    entry.trust.holds(latest, now);
+                    entry.trust.received(latest, now);
                 }
             }
             if (!entry.trust.isConfirmed()) {
@@ -163,7 +163,7 @@
         }
 
         private void applyIfAllowed(EntryHost entry, long now) {
-            if (!entry.trust.mayObey(entry.inForce, now)) {
+            if (!entry.trust.mayActivate(entry.inForce, now)) {
                 return;
             }
             entry.inForce = entry.trust.held();
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
@@ -15,13 +15,13 @@
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.stackhall.core.backpressure.Backpressure;
 import io.stackhall.core.backpressure.RestingUpstreams;
-import io.stackhall.core.customer.KeyTrust;
+import io.stackhall.core.customer.KeyLease;
 import io.stackhall.core.customer.OutageAllowance;
 import io.stackhall.core.dispatch.Dispatcher;
 import io.stackhall.core.dispatch.RetryAllowance;
 import io.stackhall.core.id.HostId;
 import io.stackhall.core.limit.LimitedUpstreams;
-import io.stackhall.core.quarantine.HostPauses;
+import io.stackhall.core.quarantine.HostPauseDetector;
 import io.stackhall.platform.Calls;
 import io.stackhall.platform.Headers;
 import io.stackhall.rpc.generated.peer.Frame;
@@ -147,7 +147,8 @@
                                         loop,
                                         time.toMillis() / CONFIRMATIONS_IN_REVOCATION,
                                         follower::renewTrust));
-        RepeatedTask.every(loop, HostPauses.TICK.toMillis(), gateway.quarantine()::tick);
+        RepeatedTask.every(
+                loop, HostPauseDetector.TICK_INTERVAL.toMillis(), gateway.quarantine()::tick);
         logger.info(
                 "daemon.started host={} zone={} callers={}",
                 settings.host(),
@@ -198,7 +199,7 @@
         FleetSettings.Limits limits = settings.limits();
         OutageAllowance outage = new OutageAllowance(limits.limitTolerance(), random);
         return new CustomerGate(
-                new KeyTrust(limits.keyRevocation()),
+                new KeyLease(limits.keyRevocation()),
                 outage,
                 new AllowanceClient(loop, new ControlLinks(), outage, this::entryHosts));
     }
