--- a/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCoordinator.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCoordinator.java
@@ -8,7 +8,7 @@
 import io.stackhall.core.membership.Announcement;
 import io.stackhall.core.membership.Artifact;
 import io.stackhall.core.membership.Resident;
-import io.stackhall.core.policy.Move;
+import io.stackhall.core.policy.PlacementAction;
 import io.stackhall.core.policy.PlacementPolicy;
 import io.stackhall.core.policy.PlacementView;
 import java.time.Duration;
@@ -277,9 +277,9 @@
         pressing = false;
         nextDecision = now + settings.decideEvery().toNanos();
         dropStaleProposals(now);
-        List<PlacementView.Seat> seats =
+        List<PlacementView.Engine> seats =
                 views.seats(reports.values(), state, busy(state), configuration, now);
-        List<PlacementView.Want> wants =
+        List<PlacementView.DeployedArtifact> wants =
                 ViewBuilder.wants(
                         configuration.deployment(),
                         demand,
@@ -288,17 +288,20 @@
                         residentModels(),
                         now);
         int allowed = store.allowed(runningLoads(state), now);
-        for (Move move : policy.decide(new PlacementView(seats, wants, allowed, now))) {
+        for (PlacementAction move : policy.decide(new PlacementView(seats, wants, allowed, now))) {
             carryOut(move, wants, state, now);
         }
         shadow.ifPresent(of -> of.decide(seats, configuration.deployment(), demand, now));
     }
 
     private void carryOut(
-            Move move, List<PlacementView.Want> wants, OrderLedger.State state, long now) {
+            PlacementAction move,
+            List<PlacementView.DeployedArtifact> wants,
+            OrderLedger.State state,
+            long now) {
         Announcement report = reports.get(move.upstream().value());
         switch (move) {
-            case Move.Load load -> {
+            case PlacementAction.Load load -> {
                 long memoryMib = memoryOf(load.artifact(), wants);
                 if (MemoryAccount.of(report, state).admits(memoryMib)) {
                     count(PlacementCounts::withLoad);
@@ -307,7 +310,7 @@
                     intend(report, Order.Kind.LOAD, load.artifact(), memoryMib, now);
                 }
             }
-            case Move.Unload unload -> {
+            case PlacementAction.Unload unload -> {
                 noteIfNeedless(unload, now);
                 intend(report, Order.Kind.UNLOAD, unload.artifact(), 0, now);
             }
@@ -339,14 +342,14 @@
         counts.put(activePolicy(), change.apply(counts()));
     }
 
-    private void noteIfSpeculative(Move.Load load) {
+    private void noteIfSpeculative(PlacementAction.Load load) {
         if (!load.urgent()) {
             speculative.add(new Placed(load.upstream(), load.artifact()));
         }
     }
 
     /** A load that nobody waited for is needless if it is undone before anybody asked for it. */
-    private void noteIfNeedless(Move.Unload unload, long now) {
+    private void noteIfNeedless(PlacementAction.Unload unload, long now) {
         long since = views.since(unload.upstream(), unload.artifact(), now);
         boolean unused = demand.lastUsed(unload.artifact().id(), Long.MIN_VALUE) < since;
         if (speculative.remove(new Placed(unload.upstream(), unload.artifact())) && unused) {
@@ -374,10 +377,10 @@
         return (int) state.open().stream().filter(order -> order.kind() == Order.Kind.LOAD).count();
     }
 
-    private static long memoryOf(Artifact artifact, List<PlacementView.Want> wants) {
+    private static long memoryOf(Artifact artifact, List<PlacementView.DeployedArtifact> wants) {
         return wants.stream()
                 .filter(want -> want.artifact().equals(artifact))
-                .mapToLong(PlacementView.Want::memoryMib)
+                .mapToLong(PlacementView.DeployedArtifact::memoryMib)
                 .findFirst()
                 .orElseThrow(() -> new IllegalArgumentException(artifact + " is not deployed"));
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/ShadowPlacement.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/ShadowPlacement.java
@@ -7,8 +7,8 @@
 import io.stackhall.core.membership.Artifact;
 import io.stackhall.core.policy.ExpectedGainPolicy;
 import io.stackhall.core.policy.LeastRecentlyUsedPolicy;
-import io.stackhall.core.policy.Move;
 import io.stackhall.core.policy.NearestCopyPolicy;
+import io.stackhall.core.policy.PlacementAction;
 import io.stackhall.core.policy.PlacementPolicy;
 import io.stackhall.core.policy.PlacementView;
 import io.stackhall.core.policy.StaticPolicy;
@@ -30,7 +30,7 @@
     private static final long LOAD_NANOS = Duration.ofSeconds(2).toNanos();
 
     private final PlacementPolicy policy;
-    private final Map<UpstreamId, List<PlacementView.Held>> held = new HashMap<>();
+    private final Map<UpstreamId, List<PlacementView.ResidentArtifact>> held = new HashMap<>();
     private final List<Loading> loading = new ArrayList<>();
     private final Map<ModelId, Integer> waiting = new HashMap<>();
     private final Set<Placed> speculative = new HashSet<>();
@@ -45,7 +45,8 @@
 
     private record Placed(UpstreamId upstream, Artifact artifact) {}
 
-    private record Loading(UpstreamId upstream, PlacementView.Want want, long readyAt) {}
+    private record Loading(
+            UpstreamId upstream, PlacementView.DeployedArtifact want, long readyAt) {}
 
     PolicyName policy() {
         return switch (policy) {
@@ -74,12 +75,15 @@
     }
 
     void decide(
-            List<PlacementView.Seat> real, Deployment deployment, DemandTracker demand, long now) {
+            List<PlacementView.Engine> real,
+            Deployment deployment,
+            DemandTracker demand,
+            long now) {
         store.limits(deployment.weightStore());
         finishLoads(now);
-        List<PlacementView.Seat> seats = new ArrayList<>();
+        List<PlacementView.Engine> seats = new ArrayList<>();
         real.forEach(seat -> seats.add(shadowOf(seat)));
-        List<PlacementView.Want> wants =
+        List<PlacementView.DeployedArtifact> wants =
                 ViewBuilder.wants(
                         deployment,
                         demand,
@@ -92,9 +96,10 @@
         policy.decide(view).forEach(move -> carryOut(move, wants, now));
     }
 
-    private void carryOut(Move move, List<PlacementView.Want> wants, long now) {
+    private void carryOut(
+            PlacementAction move, List<PlacementView.DeployedArtifact> wants, long now) {
         switch (move) {
-            case Move.Load(UpstreamId upstream, Artifact artifact, boolean urgent) -> {
+            case PlacementAction.Load(UpstreamId upstream, Artifact artifact, boolean urgent) -> {
                 if (!urgent) {
                     speculative.add(new Placed(upstream, artifact));
                 }
@@ -106,13 +111,14 @@
                         .ifPresent(
                                 want -> loading.add(new Loading(upstream, want, now + LOAD_NANOS)));
             }
-            case Move.Unload(UpstreamId upstream, Artifact artifact) ->
+            case PlacementAction.Unload(UpstreamId upstream, Artifact artifact) ->
                     unload(upstream, artifact, wants);
         }
     }
 
-    private void unload(UpstreamId upstream, Artifact artifact, List<PlacementView.Want> wants) {
-        List<PlacementView.Held> on = held.get(upstream);
+    private void unload(
+            UpstreamId upstream, Artifact artifact, List<PlacementView.DeployedArtifact> wants) {
+        List<PlacementView.ResidentArtifact> on = held.get(upstream);
         boolean unused =
                 on.stream()
                         .filter(item -> item.artifact().equals(artifact))
@@ -123,7 +129,8 @@
         }
     }
 
-    private static boolean unusedSince(PlacementView.Held item, List<PlacementView.Want> wants) {
+    private static boolean unusedSince(
+            PlacementView.ResidentArtifact item, List<PlacementView.DeployedArtifact> wants) {
         return wants.stream()
                 .filter(want -> want.artifact().id().equals(item.artifact().id()))
                 .anyMatch(want -> want.lastUsed() < item.since());
@@ -136,7 +143,7 @@
                 waiting.remove(item.want().artifact().id());
                 held.computeIfAbsent(item.upstream(), key -> new ArrayList<>())
                         .add(
-                                new PlacementView.Held(
+                                new PlacementView.ResidentArtifact(
                                         item.want().artifact(),
                                         item.want().memoryMib(),
                                         item.readyAt() - LOAD_NANOS));
@@ -144,16 +151,16 @@
         }
     }
 
-    private PlacementView.Seat shadowOf(PlacementView.Seat seat) {
-        List<PlacementView.Held> on =
-                held.computeIfAbsent(seat.upstream(), key -> new ArrayList<>(seat.held()));
-        long total = seat.freeMib() + sum(seat.held());
+    private PlacementView.Engine shadowOf(PlacementView.Engine seat) {
+        List<PlacementView.ResidentArtifact> on =
+                held.computeIfAbsent(seat.upstream(), key -> new ArrayList<>(seat.resident()));
+        long total = seat.freeMib() + sum(seat.resident());
         Optional<Loading> coming =
                 loading.stream()
                         .filter(item -> item.upstream().equals(seat.upstream()))
                         .findFirst();
         long comingMib = coming.map(item -> item.want().memoryMib()).orElse(0L);
-        return new PlacementView.Seat(
+        return new PlacementView.Engine(
                 seat.upstream(),
                 total - sum(on) - comingMib,
                 seat.slots(),
@@ -168,7 +175,7 @@
         return resident;
     }
 
-    private static long sum(List<PlacementView.Held> held) {
-        return held.stream().mapToLong(PlacementView.Held::memoryMib).sum();
+    private static long sum(List<PlacementView.ResidentArtifact> held) {
+        return held.stream().mapToLong(PlacementView.ResidentArtifact::memoryMib).sum();
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/ViewBuilder.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/ViewBuilder.java
@@ -45,13 +45,13 @@
         return residentSince.getOrDefault(upstream, Map.of()).getOrDefault(artifact, otherwise);
     }
 
-    List<PlacementView.Seat> seats(
+    List<PlacementView.Engine> seats(
             Collection<Announcement> reports,
             OrderLedger.State orders,
             Map<UpstreamId, Optional<Artifact>> busy,
             Configuration configuration,
             long now) {
-        List<PlacementView.Seat> seats = new ArrayList<>();
+        List<PlacementView.Engine> seats = new ArrayList<>();
         for (Announcement report : reports) {
             boolean leaving = report.leaving() || configuration.draining().contains(report.id());
             if (report.engine() && !leaving) {
@@ -61,7 +61,7 @@
         return seats;
     }
 
-    static List<PlacementView.Want> wants(
+    static List<PlacementView.DeployedArtifact> wants(
             Deployment deployment,
             DemandTracker demand,
             ToIntFunction<ModelId> waiting,
@@ -70,7 +70,7 @@
             long now) {
         Map<ModelId, Integer> forBase = new HashMap<>();
         Map<ModelId, Double> rateForBase = new HashMap<>();
-        List<PlacementView.Want> wants = new ArrayList<>();
+        List<PlacementView.DeployedArtifact> wants = new ArrayList<>();
         for (AdapterSpec adapter : deployment.adapters()) {
             int count = waiting.applyAsInt(adapter.id());
             rateForBase.merge(adapter.base(), demand.ratePerSecond(adapter.id(), now), Double::sum);
@@ -80,7 +80,7 @@
         }
         for (ModelSpec model : deployment.models()) {
             wants.add(
-                    new PlacementView.Want(
+                    new PlacementView.DeployedArtifact(
                             new Artifact(model.id(), model.version()),
                             model.memoryMib(),
                             Optional.empty(),
@@ -106,18 +106,20 @@
         return wants;
     }
 
-    private PlacementView.Seat seat(
+    private PlacementView.Engine seat(
             Announcement report,
             OrderLedger.State orders,
             Map<UpstreamId, Optional<Artifact>> busy,
             long now) {
         MemoryAccount account = MemoryAccount.of(report, orders);
-        List<PlacementView.Held> held = new ArrayList<>();
+        List<PlacementView.ResidentArtifact> held = new ArrayList<>();
         for (Resident resident : report.memory().resident()) {
             long since = since(report.id(), resident.artifact(), now);
-            held.add(new PlacementView.Held(resident.artifact(), resident.memoryMib(), since));
+            held.add(
+                    new PlacementView.ResidentArtifact(
+                            resident.artifact(), resident.memoryMib(), since));
         }
-        return new PlacementView.Seat(
+        return new PlacementView.Engine(
                 report.id(),
                 account.freeMib(),
                 report.load().slots(),
@@ -126,7 +128,7 @@
                 busy.getOrDefault(report.id(), Optional.empty()));
     }
 
-    private static PlacementView.Want want(
+    private static PlacementView.DeployedArtifact want(
             Deployment deployment,
             AdapterSpec adapter,
             DemandTracker demand,
@@ -137,7 +139,7 @@
                 deployment
                         .model(adapter.base())
                         .map(model -> new Artifact(model.id(), model.version()));
-        return new PlacementView.Want(
+        return new PlacementView.DeployedArtifact(
                 new Artifact(adapter.id(), ADAPTER_VERSION),
                 adapter.memoryMib(),
                 base,
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/ExpectedGainPolicy.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/ExpectedGainPolicy.java
@@ -21,48 +21,48 @@
 public final class ExpectedGainPolicy implements PlacementPolicy {
 
     private static final double HORIZON_SECONDS = 60;
-    private static final double MOVE_COST_REQUESTS = 1;
-    private static final double MARGIN = 1.5;
-    private static final double SPARE_COPY_LOSS_SHARE = 0.25;
-    private static final double STARVED_REQUESTS_PER_SECOND = 1;
+    private static final double LOAD_COST_REQUESTS = 1;
+    private static final double GAIN_MARGIN = 1.5;
+    private static final double FURTHER_COPY_LOSS_SHARE = 0.25;
+    private static final double STARVATION_VALUE_PER_SECOND = 1;
 
     /** Loads that idle copies leave to requests that may come. */
-    private static final int SPARED_LOADS = 4;
+    private static final int RESERVED_LOADS = 4;
 
     /** Where not everything fits, what is asked for less often is only loaded on demand. */
-    private static final double IDLE_RATE = 0.02;
+    private static final double MIN_IDLE_LOAD_RATE = 0.02;
 
-    private static final long LEAST_RESIDENCE_NANOS = Duration.ofSeconds(6).toNanos();
+    private static final long MIN_RESIDENCE_NANOS = Duration.ofSeconds(6).toNanos();
 
     @Override
-    public List<Move> decide(PlacementView view) {
-        Planning planning = new Planning(view);
+    public List<PlacementAction> decide(PlacementView view) {
+        PlacementPlan planning = new PlacementPlan(view);
         planning.dropObsolete();
         boolean everythingFits = planning.everythingFits();
-        view.wants().stream()
+        view.deployed().stream()
                 .filter(want -> want.waiting() > 0)
                 .sorted(Comparator.comparingDouble(ExpectedGainPolicy::valueDensity).reversed())
                 .forEach(want -> serveWaiting(planning, want));
-        view.wants().stream()
+        view.deployed().stream()
                 .filter(want -> planning.copies(want.artifact()) < want.floor())
-                .filter(want -> everythingFits || want.ratePerSecond() > IDLE_RATE)
+                .filter(want -> everythingFits || want.ratePerSecond() > MIN_IDLE_LOAD_RATE)
                 .sorted(Comparator.comparingDouble(ExpectedGainPolicy::valueDensity).reversed())
-                .forEach(want -> fillFree(planning, want));
-        return planning.moves();
+                .forEach(want -> loadIntoFreeMemory(planning, want));
+        return planning.actions();
     }
 
     /** A room that can be made on one seat, and what it is expected to cost. */
-    private record Room(PlacementView.Seat seat, List<Artifact> evicted, double loss) {}
+    private record LoadOption(PlacementView.Engine seat, List<Artifact> evicted, double loss) {}
 
-    private static void serveWaiting(Planning planning, PlacementView.Want want) {
-        if (planning.planned(want.artifact())) {
+    private static void serveWaiting(PlacementPlan planning, PlacementView.DeployedArtifact want) {
+        if (planning.hasPendingLoad(want.artifact())) {
             return;
         }
-        Optional<Room> cheapest = cheapestRoom(planning, want);
-        if (cheapest.isEmpty() || !earns(planning, want, cheapest.get())) {
+        Optional<LoadOption> cheapest = cheapestOption(planning, want);
+        if (cheapest.isEmpty() || !gainsEnough(planning, want, cheapest.get())) {
             return;
         }
-        Room room = cheapest.get();
+        LoadOption room = cheapest.get();
         if (!room.evicted().isEmpty()) {
             planning.unload(room.seat(), room.evicted().getFirst());
         } else if (planning.loadsLeft() > 0) {
@@ -75,49 +75,55 @@
      * starves, so that it is loaded in the end however little it is asked for; a further copy must
      * earn its cost by a margin.
      */
-    private static boolean earns(Planning planning, PlacementView.Want want, Room room) {
+    private static boolean gainsEnough(
+            PlacementPlan planning, PlacementView.DeployedArtifact want, LoadOption room) {
         if (planning.copies(want.artifact()) == 0) {
-            double gain = value(want) + want.starvedSeconds() * STARVED_REQUESTS_PER_SECOND;
+            double gain = value(want) + want.starvedSeconds() * STARVATION_VALUE_PER_SECOND;
             return room.evicted().isEmpty() || gain > room.loss();
         }
         int slots =
-                planning.view().seats().stream()
+                planning.view().engines().stream()
                         .filter(seat -> seat.holds(want.artifact()))
-                        .mapToInt(PlacementView.Seat::slots)
+                        .mapToInt(PlacementView.Engine::slots)
                         .sum();
         double unserved = want.waiting() - slots;
-        return unserved > MARGIN * room.loss() + MOVE_COST_REQUESTS;
+        return unserved > GAIN_MARGIN * room.loss() + LOAD_COST_REQUESTS;
     }
 
-    private static void fillFree(Planning planning, PlacementView.Want want) {
-        if (planning.loadsLeft() > SPARED_LOADS && !planning.planned(want.artifact())) {
-            StaticPolicy.roomiest(planning, want).ifPresent(seat -> planning.load(seat, want));
+    private static void loadIntoFreeMemory(
+            PlacementPlan planning, PlacementView.DeployedArtifact want) {
+        if (planning.loadsLeft() > RESERVED_LOADS && !planning.hasPendingLoad(want.artifact())) {
+            StaticPolicy.engineWithMostFreeMemory(planning, want)
+                    .ifPresent(seat -> planning.load(seat, want));
         }
     }
 
-    private static Optional<Room> cheapestRoom(Planning planning, PlacementView.Want want) {
-        return planning.view().seats().stream()
+    private static Optional<LoadOption> cheapestOption(
+            PlacementPlan planning, PlacementView.DeployedArtifact want) {
+        return planning.view().engines().stream()
                 .filter(planning::available)
                 .filter(seat -> planning.baseReady(seat, want))
                 .filter(seat -> !seat.holds(want.artifact()))
-                .flatMap(seat -> roomOn(planning, seat, want).stream())
-                .min(Comparator.comparingDouble(Room::loss));
+                .flatMap(seat -> optionOn(planning, seat, want).stream())
+                .min(Comparator.comparingDouble(LoadOption::loss));
     }
 
     /** Evicts by least loss for each MiB until the artifact fits. */
-    private static Optional<Room> roomOn(
-            Planning planning, PlacementView.Seat seat, PlacementView.Want want) {
+    private static Optional<LoadOption> optionOn(
+            PlacementPlan planning,
+            PlacementView.Engine seat,
+            PlacementView.DeployedArtifact want) {
         long missing = want.memoryMib() - seat.freeMib();
-        List<Bundle> candidates =
-                seat.held().stream()
-                        .map(held -> bundle(planning, seat, held))
+        List<EvictionUnit> candidates =
+                seat.resident().stream()
+                        .map(held -> evictionUnit(planning, seat, held))
                         .filter(bundle -> evictable(planning, bundle, want))
-                        .sorted(Comparator.comparingDouble(Bundle::lossDensity))
+                        .sorted(Comparator.comparingDouble(EvictionUnit::lossDensity))
                         .toList();
         Set<Artifact> evicted = new LinkedHashSet<>();
         double loss = 0;
-        for (Bundle bundle : candidates) {
-            for (PlacementView.Held held : bundle.inOrder()) {
+        for (EvictionUnit bundle : candidates) {
+            for (PlacementView.ResidentArtifact held : bundle.inOrder()) {
                 if (missing > 0 && evicted.add(held.artifact())) {
                     missing -= held.memoryMib();
                     loss += loss(planning, held);
@@ -125,7 +131,7 @@
             }
         }
         return missing <= 0
-                ? Optional.of(new Room(seat, List.copyOf(evicted), loss))
+                ? Optional.of(new LoadOption(seat, List.copyOf(evicted), loss))
                 : Optional.empty();
     }
 
@@ -135,20 +141,24 @@
      * @param inOrder the order of eviction
      * @param lossDensity the expected loss for each MiB
      */
-    private record Bundle(List<PlacementView.Held> inOrder, double lossDensity) {}
+    private record EvictionUnit(List<PlacementView.ResidentArtifact> inOrder, double lossDensity) {}
 
-    private static Bundle bundle(
-            Planning planning, PlacementView.Seat seat, PlacementView.Held held) {
-        List<PlacementView.Held> inOrder =
+    private static EvictionUnit evictionUnit(
+            PlacementPlan planning,
+            PlacementView.Engine seat,
+            PlacementView.ResidentArtifact held) {
+        List<PlacementView.ResidentArtifact> inOrder =
                 new ArrayList<>(planning.adaptersOn(seat, held.artifact()));
         inOrder.add(held);
         double loss = inOrder.stream().mapToDouble(item -> loss(planning, item)).sum();
-        long memoryMib = inOrder.stream().mapToLong(PlacementView.Held::memoryMib).sum();
-        return new Bundle(inOrder, loss / Math.max(1, memoryMib));
+        long memoryMib =
+                inOrder.stream().mapToLong(PlacementView.ResidentArtifact::memoryMib).sum();
+        return new EvictionUnit(inOrder, loss / Math.max(1, memoryMib));
     }
 
-    private static boolean evictable(Planning planning, Bundle bundle, PlacementView.Want want) {
-        PlacementView.Held last = bundle.inOrder().getLast();
+    private static boolean evictable(
+            PlacementPlan planning, EvictionUnit bundle, PlacementView.DeployedArtifact want) {
+        PlacementView.ResidentArtifact last = bundle.inOrder().getLast();
         boolean isBase =
                 want.base().isPresent() && want.base().get().id().equals(last.artifact().id());
         boolean settled =
@@ -156,24 +166,24 @@
                         .allMatch(
                                 held ->
                                         planning.view().now() - held.since()
-                                                >= LEAST_RESIDENCE_NANOS);
+                                                >= MIN_RESIDENCE_NANOS);
         return !isBase && settled;
     }
 
-    private static double loss(Planning planning, PlacementView.Held held) {
+    private static double loss(PlacementPlan planning, PlacementView.ResidentArtifact held) {
         double expected =
-                planning.want(held.artifact().id())
-                        .map(want -> value(want) + MOVE_COST_REQUESTS)
+                planning.deployed(held.artifact().id())
+                        .map(want -> value(want) + LOAD_COST_REQUESTS)
                         .orElse(0.0);
         boolean spare = planning.copies(held.artifact()) > 1;
-        return spare ? expected * SPARE_COPY_LOSS_SHARE : expected;
+        return spare ? expected * FURTHER_COPY_LOSS_SHARE : expected;
     }
 
-    private static double valueDensity(PlacementView.Want want) {
+    private static double valueDensity(PlacementView.DeployedArtifact want) {
         return value(want) / Math.max(1, want.memoryMib());
     }
 
-    private static double value(PlacementView.Want want) {
+    private static double value(PlacementView.DeployedArtifact want) {
         return want.ratePerSecond() * HORIZON_SECONDS + want.waiting();
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/LeastRecentlyUsedPolicy.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/LeastRecentlyUsedPolicy.java
@@ -11,21 +11,21 @@
 public final class LeastRecentlyUsedPolicy implements PlacementPolicy {
 
     @Override
-    public List<Move> decide(PlacementView view) {
-        Planning planning = new Planning(view);
+    public List<PlacementAction> decide(PlacementView view) {
+        PlacementPlan planning = new PlacementPlan(view);
         planning.dropObsolete();
-        view.wants().stream()
+        view.deployed().stream()
                 .filter(want -> want.waiting() > 0 && planning.copies(want.artifact()) == 0)
-                .sorted(Comparator.comparingInt(PlacementView.Want::waiting).reversed())
-                .forEach(want -> serve(planning, want));
-        return planning.moves();
+                .sorted(Comparator.comparingInt(PlacementView.DeployedArtifact::waiting).reversed())
+                .forEach(want -> loadOrEvict(planning, want));
+        return planning.actions();
     }
 
-    private static void serve(Planning planning, PlacementView.Want want) {
-        if (planning.planned(want.artifact())) {
+    private static void loadOrEvict(PlacementPlan planning, PlacementView.DeployedArtifact want) {
+        if (planning.hasPendingLoad(want.artifact())) {
             return;
         }
-        Optional<PlacementView.Seat> room = StaticPolicy.roomiest(planning, want);
+        Optional<PlacementView.Engine> room = StaticPolicy.engineWithMostFreeMemory(planning, want);
         if (room.isPresent()) {
             if (planning.loadsLeft() > 0) {
                 planning.load(room.get(), want);
@@ -35,47 +35,53 @@
         evict(planning, want);
     }
 
-    private static void evict(Planning planning, PlacementView.Want want) {
-        planning.view().seats().stream()
+    private static void evict(PlacementPlan planning, PlacementView.DeployedArtifact want) {
+        planning.view().engines().stream()
                 .filter(planning::available)
                 .filter(seat -> planning.baseReady(seat, want))
-                .filter(seat -> seat.freeMib() + heldMib(seat, want) >= want.memoryMib())
-                .min(Comparator.comparingLong(seat -> oldestUse(planning, seat, want)))
+                .filter(seat -> seat.freeMib() + evictableMib(seat, want) >= want.memoryMib())
+                .min(Comparator.comparingLong(seat -> leastRecentUse(planning, seat, want)))
                 .ifPresent(
                         seat ->
-                                oldest(planning, seat, want)
+                                leastRecentlyUsed(planning, seat, want)
                                         .ifPresent(held -> planning.unload(seat, held.artifact())));
     }
 
-    private static long heldMib(PlacementView.Seat seat, PlacementView.Want want) {
-        return seat.held().stream()
+    private static long evictableMib(
+            PlacementView.Engine seat, PlacementView.DeployedArtifact want) {
+        return seat.resident().stream()
                 .filter(held -> !isBase(held, want))
-                .mapToLong(PlacementView.Held::memoryMib)
+                .mapToLong(PlacementView.ResidentArtifact::memoryMib)
                 .sum();
     }
 
-    private static long oldestUse(
-            Planning planning, PlacementView.Seat seat, PlacementView.Want want) {
-        return oldest(planning, seat, want)
+    private static long leastRecentUse(
+            PlacementPlan planning,
+            PlacementView.Engine seat,
+            PlacementView.DeployedArtifact want) {
+        return leastRecentlyUsed(planning, seat, want)
                 .map(held -> lastUsed(planning, held))
                 .orElse(Long.MAX_VALUE);
     }
 
-    private static Optional<PlacementView.Held> oldest(
-            Planning planning, PlacementView.Seat seat, PlacementView.Want want) {
-        return seat.held().stream()
+    private static Optional<PlacementView.ResidentArtifact> leastRecentlyUsed(
+            PlacementPlan planning,
+            PlacementView.Engine seat,
+            PlacementView.DeployedArtifact want) {
+        return seat.resident().stream()
                 .filter(held -> !isBase(held, want))
                 .filter(held -> !planning.carriesAdapters(seat, held.artifact()))
                 .min(Comparator.comparingLong(held -> lastUsed(planning, held)));
     }
 
-    private static boolean isBase(PlacementView.Held held, PlacementView.Want want) {
+    private static boolean isBase(
+            PlacementView.ResidentArtifact held, PlacementView.DeployedArtifact want) {
         return want.base().isPresent() && want.base().get().id().equals(held.artifact().id());
     }
 
-    private static long lastUsed(Planning planning, PlacementView.Held held) {
-        return planning.want(held.artifact().id())
-                .map(PlacementView.Want::lastUsed)
+    private static long lastUsed(PlacementPlan planning, PlacementView.ResidentArtifact held) {
+        return planning.deployed(held.artifact().id())
+                .map(PlacementView.DeployedArtifact::lastUsed)
                 .orElse(Long.MIN_VALUE);
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/NearestCopyPolicy.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/NearestCopyPolicy.java
@@ -27,23 +27,23 @@
     private static final double LOAD_SECOND_COST = 0.3;
 
     /** Filling a free place from a copy at hand costs little beside. */
-    private static final double FILL_SECOND_COST = 0.05;
+    private static final double LOCAL_FILL_SECOND_COST = 0.05;
 
     /** What a load that is not yet waited for must earn beyond what it evicts. */
-    private static final double MARGIN = 1.5;
+    private static final double GAIN_MARGIN = 1.5;
 
     /**
      * What a second of loading costs for each request a second that the engine serves already: they
      * get no further adapter meanwhile. An engine that served a busy model was once kept from
      * adapters for 9 s by a load of another model from the store, and 20 requests were refused.
      */
-    private static final double CROWDING_COST = 0.2;
+    private static final double SERVED_RATE_COST = 0.2;
 
     /** A copy that has just come stays for as long as its load may take to pay. */
-    private static final Duration LEAST_RESIDENCE = Duration.ofSeconds(4);
+    private static final Duration MIN_RESIDENCE = Duration.ofSeconds(4);
 
     /** Even for a waiting model: requests for the copy that has come last need time to be sent. */
-    private static final Duration LEAST_RESIDENCE_WHILE_WAITED_FOR = Duration.ofMillis(1500);
+    private static final Duration MIN_RESIDENCE_WITH_REQUESTS_WAITING = Duration.ofMillis(1500);
 
     /** A further copy serves more where it is in another zone, which may be cut off. */
     private static final double SAME_ZONE_COST = 2;
@@ -56,25 +56,26 @@
      * more often from any copy for 6 s (one day of load, from the log). Before the first request
      * all of them may, so that weights have more homes when demand begins.
      */
-    private static final int SEATS_PER_STORE_LOAD = 3;
+    private static final int ENGINES_PER_STORE_LOAD = 3;
 
-    private static final double OFTEN_PER_SECOND = 2;
+    private static final double FREQUENT_REQUESTS_PER_SECOND = 2;
 
     private static final double MILLIS_PER_SECOND = 1000;
 
     @Override
-    public List<Move> decide(PlacementView view) {
-        Planning planning = new Planning(view);
+    public List<PlacementAction> decide(PlacementView view) {
+        PlacementPlan planning = new PlacementPlan(view);
         planning.dropObsolete();
-        List<PlacementView.Want> models =
-                view.wants().stream().filter(want -> want.base().isEmpty()).toList();
+        List<PlacementView.DeployedArtifact> models =
+                view.deployed().stream().filter(want -> want.base().isEmpty()).toList();
         models.stream()
                 .sorted(
                         Comparator.comparingDouble(
-                                        (PlacementView.Want want) -> claim(planning, want))
+                                        (PlacementView.DeployedArtifact want) ->
+                                                rank(planning, want))
                                 .reversed())
                 .forEach(want -> place(planning, want));
-        return planning.moves();
+        return planning.actions();
     }
 
     /**
@@ -82,83 +83,86 @@
      * that somebody waited for always went first, one asked for 68 times a second got its second
      * copy 4 s after its demand had risen and its third 7 s later (one day, from the log).
      */
-    private static double claim(Planning planning, PlacementView.Want want) {
-        return CopyWorth.ofNext(planning, want) + want.starvedSeconds();
+    private static double rank(PlacementPlan planning, PlacementView.DeployedArtifact want) {
+        return CopyValue.ofNextCopy(planning, want) + want.starvedSeconds();
     }
 
-    private static void place(Planning planning, PlacementView.Want want) {
+    private static void place(PlacementPlan planning, PlacementView.DeployedArtifact want) {
         if (want.waiting() > 0 && planning.copies(want.artifact()) == 0) {
             serveWaiting(planning, want);
         } else {
-            improve(planning, want);
+            addCopy(planning, want);
         }
     }
 
     /** A place that can be made on one seat, and what it costs. */
-    private record Place(
-            PlacementView.Seat seat,
+    private record LoadOption(
+            PlacementView.Engine seat,
             List<Artifact> evicted,
             double loss,
-            double load,
-            double crowd,
-            double displaced,
-            long blocked,
+            double loadSeconds,
+            double servedRate,
+            double displacementCost,
+            long blockedModels,
             boolean fromStore,
-            boolean zoneHasIt) {
+            boolean servedInZone) {
         double cost() {
-            double together = zoneHasIt ? SAME_ZONE_COST : 0;
-            double second = LOAD_SECOND_COST * (1 + blocked) + CROWDING_COST * crowd;
-            return loss + displaced + together + second * load;
+            double together = servedInZone ? SAME_ZONE_COST : 0;
+            double second = LOAD_SECOND_COST * (1 + blockedModels) + SERVED_RATE_COST * servedRate;
+            return loss + displacementCost + together + second * loadSeconds;
         }
     }
 
-    private static void serveWaiting(Planning planning, PlacementView.Want want) {
-        if (planning.planned(want.artifact())) {
+    private static void serveWaiting(PlacementPlan planning, PlacementView.DeployedArtifact want) {
+        if (planning.hasPendingLoad(want.artifact())) {
             return;
         }
-        double worth = CopyWorth.ofCopy(planning, want, 1) + want.starvedSeconds();
-        cheapest(planning, want, LEAST_RESIDENCE_WHILE_WAITED_FOR)
+        double worth = CopyValue.ofCopy(planning, want, 1) + want.starvedSeconds();
+        cheapestOption(planning, want, MIN_RESIDENCE_WITH_REQUESTS_WAITING)
                 .filter(place -> place.loss() <= worth)
-                .ifPresent(place -> take(planning, want, place));
+                .ifPresent(place -> plan(planning, want, place));
     }
 
-    private static void improve(Planning planning, PlacementView.Want want) {
-        double ofCopy = CopyWorth.ofNext(planning, want);
-        double ofHome = CopyWorth.ofHome(planning, want);
+    private static void addCopy(PlacementPlan planning, PlacementView.DeployedArtifact want) {
+        double ofCopy = CopyValue.ofNextCopy(planning, want);
+        double ofHome = CopyValue.ofWeightLocation(planning, want);
         if (ofCopy + Math.max(0, ofHome) <= 0) {
             return;
         }
         boolean waited = want.waiting() > 0;
-        Optional<Place> best =
-                cheapest(
+        Optional<LoadOption> best =
+                cheapestOption(
                         planning,
                         want,
-                        waited ? LEAST_RESIDENCE_WHILE_WAITED_FOR : LEAST_RESIDENCE);
+                        waited ? MIN_RESIDENCE_WITH_REQUESTS_WAITING : MIN_RESIDENCE);
         if (best.isEmpty()) {
             return;
         }
-        Place place = best.get();
-        boolean newHome = place.fromStore() && !planning.planned(want.artifact());
+        LoadOption place = best.get();
+        boolean newHome = place.fromStore() && !planning.hasPendingLoad(want.artifact());
         double gain = ofCopy + (newHome ? ofHome : 0);
-        if (gain > effort(place)) {
-            take(planning, want, place);
+        if (gain > requiredGain(place)) {
+            plan(planning, want, place);
         }
     }
 
-    private static double effort(Place place) {
+    private static double requiredGain(LoadOption place) {
         if (place.fromStore()) {
-            return MARGIN * place.loss()
-                    + place.displaced()
-                    + (1 + CROWDING_COST * place.crowd() + LOAD_SECOND_COST * place.blocked())
-                            * place.load();
+            return GAIN_MARGIN * place.loss()
+                    + place.displacementCost()
+                    + (1
+                                    + SERVED_RATE_COST * place.servedRate()
+                                    + LOAD_SECOND_COST * place.blockedModels())
+                            * place.loadSeconds();
         }
         if (place.evicted().isEmpty()) {
-            return FILL_SECOND_COST * place.load();
+            return LOCAL_FILL_SECOND_COST * place.loadSeconds();
         }
-        return MARGIN * place.loss() + LOAD_SECOND_COST * place.load();
+        return GAIN_MARGIN * place.loss() + LOAD_SECOND_COST * place.loadSeconds();
     }
 
-    private static void take(Planning planning, PlacementView.Want want, Place place) {
+    private static void plan(
+            PlacementPlan planning, PlacementView.DeployedArtifact want, LoadOption place) {
         if (place.evicted().isEmpty()) {
             planning.load(place.seat(), want);
         } else {
@@ -166,15 +170,16 @@
         }
     }
 
-    private static Optional<Place> cheapest(
-            Planning planning, PlacementView.Want want, Duration residence) {
-        Optional<Place> best = Optional.empty();
-        boolean fromStore = storeIsFree(planning, want) && !nearSeatIsFreeSoon(planning, want);
-        for (PlacementView.Seat seat : planning.view().seats()) {
+    private static Optional<LoadOption> cheapestOption(
+            PlacementPlan planning, PlacementView.DeployedArtifact want, Duration residence) {
+        Optional<LoadOption> best = Optional.empty();
+        boolean fromStore =
+                mayLoadFromStore(planning, want) && !localEngineIsFreeSoon(planning, want);
+        for (PlacementView.Engine seat : planning.view().engines()) {
             if (!planning.available(seat) || seat.holds(want.artifact().id())) {
                 continue;
             }
-            Optional<Place> place = placeOn(planning, seat, want, residence);
+            Optional<LoadOption> place = optionOn(planning, seat, want, residence);
             if (place.isEmpty() || (place.get().fromStore() && !fromStore)) {
                 continue;
             }
@@ -189,64 +194,68 @@
      * A seat that loads from a copy at hand, or unloads, is free again within 2.3 s or less; a
      * first copy waits for it, a further one is needed beside it.
      */
-    private static boolean nearSeatIsFreeSoon(Planning planning, PlacementView.Want want) {
+    private static boolean localEngineIsFreeSoon(
+            PlacementPlan planning, PlacementView.DeployedArtifact want) {
         if (planning.copies(want.artifact()) > 0) {
             return false;
         }
         ModelId model = want.artifact().id();
-        return planning.view().seats().stream()
-                .filter(seat -> seat.nearCopies().containsKey(model) && !seat.holds(model))
-                .anyMatch(seat -> !planning.available(seat) && !Planning.loadsFromStore(seat));
+        return planning.view().engines().stream()
+                .filter(seat -> seat.localLoadTimes().containsKey(model) && !seat.holds(model))
+                .anyMatch(seat -> !planning.available(seat) && !PlacementPlan.loadsFromStore(seat));
     }
 
-    private static boolean storeIsFree(Planning planning, PlacementView.Want want) {
+    private static boolean mayLoadFromStore(
+            PlacementPlan planning, PlacementView.DeployedArtifact want) {
         if (planning.loadsLeft() <= 0) {
             return false;
         }
-        if (planning.unused()) {
+        if (planning.noneRequestedYet()) {
             return true;
         }
-        int most = Math.max(1, planning.view().seats().size() / SEATS_PER_STORE_LOAD);
-        most *= want.ratePerSecond() >= OFTEN_PER_SECOND ? 2 : 1;
+        int most = Math.max(1, planning.view().engines().size() / ENGINES_PER_STORE_LOAD);
+        most *= want.ratePerSecond() >= FREQUENT_REQUESTS_PER_SECOND ? 2 : 1;
         return planning.storeLoads() < most;
     }
 
-    private static Optional<Place> placeOn(
-            Planning planning,
-            PlacementView.Seat seat,
-            PlacementView.Want want,
+    private static Optional<LoadOption> optionOn(
+            PlacementPlan planning,
+            PlacementView.Engine seat,
+            PlacementView.DeployedArtifact want,
             Duration residence) {
-        SeatCosts costs = planning.costs(seat);
+        EngineCosts costs = planning.costs(seat);
         long missing = want.memoryMib() - seat.freeMib();
         List<Artifact> evicted = new ArrayList<>();
         double loss = 0;
-        for (SeatCosts.Loss candidate : costs.byLoss()) {
+        for (EngineCosts.EvictionCandidate candidate : costs.evictionCandidates()) {
             if (missing <= 0) {
                 break;
             }
-            if (settled(planning, candidate.held(), residence)) {
-                evicted.add(candidate.held().artifact());
-                missing -= candidate.held().memoryMib();
-                loss += candidate.worth();
+            if (evictable(planning, candidate.resident(), residence)) {
+                evicted.add(candidate.resident().artifact());
+                missing -= candidate.resident().memoryMib();
+                loss += candidate.value();
             }
         }
         if (missing > 0) {
             return Optional.empty();
         }
         ModelId model = want.artifact().id();
-        boolean fromStore = !seat.nearCopies().containsKey(model);
+        boolean fromStore = !seat.localLoadTimes().containsKey(model);
         double load = loadSeconds(seat, want);
-        double displaced = fromStore ? costs.displaced() : 0;
-        long blocked = fromStore ? blocked(planning, seat, evicted) : 0;
+        double displaced = fromStore ? costs.displacementCost() : 0;
+        long blocked = fromStore ? blockedModels(planning, seat, evicted) : 0;
         boolean zoneHasIt =
-                seat.zone().filter(zone -> planning.homes().servedIn(zone, model)).isPresent();
+                seat.zone()
+                        .filter(zone -> planning.weightLocations().servedIn(zone, model))
+                        .isPresent();
         return Optional.of(
-                new Place(
+                new LoadOption(
                         seat,
                         List.copyOf(evicted),
                         loss,
                         load,
-                        costs.crowd(),
+                        costs.servedRate(),
                         displaced,
                         blocked,
                         fromStore,
@@ -260,24 +269,28 @@
      * load of another one on the only engine with its weights had ended (one calm day, from the
      * log).
      */
-    private static long blocked(
-            Planning planning, PlacementView.Seat seat, List<Artifact> evicted) {
-        Set<ModelId> here = new HashSet<>(seat.nearCopies().keySet());
+    private static long blockedModels(
+            PlacementPlan planning, PlacementView.Engine seat, List<Artifact> evicted) {
+        Set<ModelId> here = new HashSet<>(seat.localLoadTimes().keySet());
         evicted.forEach(artifact -> here.add(artifact.id()));
-        seat.held().stream()
-                .map(PlacementView.Held::artifact)
+        seat.resident().stream()
+                .map(PlacementView.ResidentArtifact::artifact)
                 .filter(artifact -> !evicted.contains(artifact))
                 .forEach(artifact -> here.remove(artifact.id()));
-        return here.stream().filter(model -> !planning.homes().hadWithout(seat, model)).count();
+        return here.stream()
+                .filter(model -> !planning.weightLocations().availableWithout(seat, model))
+                .count();
     }
 
-    private static boolean settled(Planning planning, PlacementView.Held held, Duration residence) {
+    private static boolean evictable(
+            PlacementPlan planning, PlacementView.ResidentArtifact held, Duration residence) {
         return planning.view().now() - held.since() >= residence.toNanos();
     }
 
-    private static double loadSeconds(PlacementView.Seat seat, PlacementView.Want want) {
-        Duration near = seat.nearCopies().get(want.artifact().id());
-        Duration load = near == null ? want.loadFromStore() : near;
+    private static double loadSeconds(
+            PlacementView.Engine seat, PlacementView.DeployedArtifact want) {
+        Duration near = seat.localLoadTimes().get(want.artifact().id());
+        Duration load = near == null ? want.storeLoadTime() : near;
         return load.toMillis() / MILLIS_PER_SECOND;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/Move.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/PlacementAction.java
@@ -4,7 +4,7 @@
 import io.stackhall.core.membership.Artifact;
 
 /** One step that a policy wants. */
-public sealed interface Move {
+public sealed interface PlacementAction {
 
     /** Returns the upstream concerned. */
     UpstreamId upstream();
@@ -17,8 +17,9 @@
      *
      * @param urgent whether requests wait for it
      */
-    record Load(UpstreamId upstream, Artifact artifact, boolean urgent) implements Move {}
+    record Load(UpstreamId upstream, Artifact artifact, boolean urgent)
+            implements PlacementAction {}
 
     /** Unload an artifact. */
-    record Unload(UpstreamId upstream, Artifact artifact) implements Move {}
+    record Unload(UpstreamId upstream, Artifact artifact) implements PlacementAction {}
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/PlacementPolicy.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/PlacementPolicy.java
@@ -22,7 +22,7 @@
      * Returns the next moves, most urgent first; at most one for each upstream, but for an unload
      * and right behind it the load that it makes room for.
      */
-    List<Move> decide(PlacementView view);
+    List<PlacementAction> decide(PlacementView view);
 
     /** Returns the policy of a name. */
     static PlacementPolicy of(PolicyName name) {
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/PlacementView.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/PlacementView.java
@@ -19,23 +19,28 @@
  * @param now the monotonic clock, in nanoseconds
  */
 public record PlacementView(
-        List<Seat> seats, List<Want> wants, int loadsAllowed, double saturatingRate, long now) {
+        List<Engine> engines,
+        List<DeployedArtifact> deployed,
+        int loadsAllowed,
+        double saturatingRate,
+        long now) {
 
     /**
      * Stands for a capacity that is not known, in requests a second: prompts of 1,800 tokens are
      * read so at 19 tokens a millisecond.
      */
-    public static final double UNKNOWN_RATE = 8;
+    public static final double DEFAULT_SATURATING_RATE = 8;
 
     /** Creates a view of upstreams whose capacity is not known. */
-    public PlacementView(List<Seat> seats, List<Want> wants, int loadsAllowed, long now) {
-        this(seats, wants, loadsAllowed, UNKNOWN_RATE, now);
+    public PlacementView(
+            List<Engine> seats, List<DeployedArtifact> wants, int loadsAllowed, long now) {
+        this(seats, wants, loadsAllowed, DEFAULT_SATURATING_RATE, now);
     }
 
     /** Copies the lists. */
     public PlacementView {
-        seats = List.copyOf(seats);
-        wants = List.copyOf(wants);
+        engines = List.copyOf(engines);
+        deployed = List.copyOf(deployed);
     }
 
     /**
@@ -50,27 +55,27 @@
      * @param nearCopies how long a load takes of each model whose weights it keeps at hand
      * @param zone its availability zone, where that matters
      */
-    public record Seat(
+    public record Engine(
             UpstreamId upstream,
             long freeMib,
             int slots,
-            List<Held> held,
+            List<ResidentArtifact> resident,
             boolean busy,
             Optional<Artifact> loading,
-            Map<ModelId, Duration> nearCopies,
+            Map<ModelId, Duration> localLoadTimes,
             Optional<ZoneId> zone) {
         /** Copies the collections. */
-        public Seat {
-            held = List.copyOf(held);
-            nearCopies = Map.copyOf(nearCopies);
+        public Engine {
+            resident = List.copyOf(resident);
+            localLoadTimes = Map.copyOf(localLoadTimes);
         }
 
         /** Creates a seat of an upstream that keeps no copies at hand. */
-        public Seat(
+        public Engine(
                 UpstreamId upstream,
                 long freeMib,
                 int slots,
-                List<Held> held,
+                List<ResidentArtifact> held,
                 boolean busy,
                 Optional<Artifact> loading) {
             this(upstream, freeMib, slots, held, busy, loading, Map.of(), Optional.empty());
@@ -78,12 +83,12 @@
 
         /** Returns whether any version of a model is resident. */
         public boolean holds(ModelId model) {
-            return held.stream().anyMatch(item -> item.artifact().id().equals(model));
+            return resident.stream().anyMatch(item -> item.artifact().id().equals(model));
         }
 
         /** Returns whether this very artifact is resident. */
         public boolean holds(Artifact artifact) {
-            return held.stream().anyMatch(item -> item.artifact().equals(artifact));
+            return resident.stream().anyMatch(item -> item.artifact().equals(artifact));
         }
     }
 
@@ -94,7 +99,7 @@
      * @param memoryMib what it takes, in MiB
      * @param since when it was first seen, on the monotonic clock in nanoseconds
      */
-    public record Held(Artifact artifact, long memoryMib, long since) {}
+    public record ResidentArtifact(Artifact artifact, long memoryMib, long since) {}
 
     /**
      * One deployed model or adapter.
@@ -110,7 +115,7 @@
      *     never
      * @param loadFromStore how long a load takes where no copy of its weights is at hand
      */
-    public record Want(
+    public record DeployedArtifact(
             Artifact artifact,
             long memoryMib,
             Optional<Artifact> base,
@@ -119,13 +124,13 @@
             int waiting,
             double starvedSeconds,
             long lastUsed,
-            Duration loadFromStore) {
+            Duration storeLoadTime) {
 
         /** Stands for a load time that nobody has told. */
-        private static final Duration UNKNOWN_LOAD = Duration.ofSeconds(9);
+        private static final Duration DEFAULT_STORE_LOAD_TIME = Duration.ofSeconds(9);
 
         /** Creates a want whose load time is not known. */
-        public Want(
+        public DeployedArtifact(
                 Artifact artifact,
                 long memoryMib,
                 Optional<Artifact> base,
@@ -143,7 +148,7 @@
                     waiting,
                     starvedSeconds,
                     lastUsed,
-                    UNKNOWN_LOAD);
+                    DEFAULT_STORE_LOAD_TIME);
         }
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/StaticPolicy.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/StaticPolicy.java
@@ -8,24 +8,26 @@
 public final class StaticPolicy implements PlacementPolicy {
 
     @Override
-    public List<Move> decide(PlacementView view) {
-        Planning planning = new Planning(view);
+    public List<PlacementAction> decide(PlacementView view) {
+        PlacementPlan planning = new PlacementPlan(view);
         planning.dropObsolete();
-        for (PlacementView.Want want : view.wants()) {
+        for (PlacementView.DeployedArtifact want : view.deployed()) {
             boolean missing = planning.copies(want.artifact()) == 0;
-            if (planning.loadsLeft() > 0 && missing && !planning.planned(want.artifact())) {
-                roomiest(planning, want).ifPresent(seat -> planning.load(seat, want));
+            if (planning.loadsLeft() > 0 && missing && !planning.hasPendingLoad(want.artifact())) {
+                engineWithMostFreeMemory(planning, want)
+                        .ifPresent(seat -> planning.load(seat, want));
             }
         }
-        return planning.moves();
+        return planning.actions();
     }
 
-    static Optional<PlacementView.Seat> roomiest(Planning planning, PlacementView.Want want) {
-        return planning.view().seats().stream()
+    static Optional<PlacementView.Engine> engineWithMostFreeMemory(
+            PlacementPlan planning, PlacementView.DeployedArtifact want) {
+        return planning.view().engines().stream()
                 .filter(planning::available)
                 .filter(seat -> planning.baseReady(seat, want))
                 .filter(seat -> !seat.holds(want.artifact()))
                 .filter(seat -> seat.freeMib() >= want.memoryMib())
-                .max(Comparator.comparingLong(PlacementView.Seat::freeMib));
+                .max(Comparator.comparingLong(PlacementView.Engine::freeMib));
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/WeightHomes.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/WeightLocations.java
@@ -16,20 +16,20 @@
  * costs of each seat were, a decision over 56 engines and 148 models took 765 ms of processor time;
  * counted once it takes 34 ms (made-up placement, first compiler only, beside other load).
  */
-final class WeightHomes {
+final class WeightLocations {
 
     private final Map<ModelId, Integer> served = new HashMap<>();
-    private final Map<ModelId, Integer> near = new HashMap<>();
-    private final Map<ModelId, Integer> homes = new HashMap<>();
-    private final Map<ModelId, Integer> free = new HashMap<>();
+    private final Map<ModelId, Integer> localCopies = new HashMap<>();
+    private final Map<ModelId, Integer> locations = new HashMap<>();
+    private final Map<ModelId, Integer> freeLocalCopies = new HashMap<>();
     private final Map<ZoneId, Set<ModelId>> servedIn = new HashMap<>();
-    private final Set<UpstreamId> freeSeats = new HashSet<>();
+    private final Set<UpstreamId> freeEngines = new HashSet<>();
 
-    WeightHomes(List<PlacementView.Seat> seats) {
-        for (PlacementView.Seat seat : seats) {
-            Set<ModelId> here = new HashSet<>(seat.nearCopies().keySet());
-            here.forEach(model -> near.merge(model, 1, Integer::sum));
-            for (PlacementView.Held held : seat.held()) {
+    WeightLocations(List<PlacementView.Engine> seats) {
+        for (PlacementView.Engine seat : seats) {
+            Set<ModelId> here = new HashSet<>(seat.localLoadTimes().keySet());
+            here.forEach(model -> localCopies.merge(model, 1, Integer::sum));
+            for (PlacementView.ResidentArtifact held : seat.resident()) {
                 served.merge(held.artifact().id(), 1, Integer::sum);
                 here.add(held.artifact().id());
                 seat.zone()
@@ -38,29 +38,33 @@
                                         servedIn.computeIfAbsent(zone, key -> new HashSet<>())
                                                 .add(held.artifact().id()));
             }
-            here.forEach(model -> homes.merge(model, 1, Integer::sum));
+            here.forEach(model -> locations.merge(model, 1, Integer::sum));
             if (!seat.busy()) {
-                freeSeats.add(seat.upstream());
-                seat.nearCopies().keySet().forEach(model -> free.merge(model, 1, Integer::sum));
+                freeEngines.add(seat.upstream());
+                seat.localLoadTimes()
+                        .keySet()
+                        .forEach(model -> freeLocalCopies.merge(model, 1, Integer::sum));
             }
         }
     }
 
     /** Notes that a seat takes no further order in this decision. */
-    void taken(PlacementView.Seat seat) {
-        if (freeSeats.remove(seat.upstream())) {
-            seat.nearCopies().keySet().forEach(model -> free.merge(model, -1, Integer::sum));
+    void assigned(PlacementView.Engine seat) {
+        if (freeEngines.remove(seat.upstream())) {
+            seat.localLoadTimes()
+                    .keySet()
+                    .forEach(model -> freeLocalCopies.merge(model, -1, Integer::sum));
         }
     }
 
     /** Returns how many seats serve a model or keep its weights at hand. */
-    int homes(ModelId model) {
-        return homes.getOrDefault(model, 0);
+    int locations(ModelId model) {
+        return locations.getOrDefault(model, 0);
     }
 
     /** Returns how many seats keep the weights of a model at hand. */
-    int near(ModelId model) {
-        return near.getOrDefault(model, 0);
+    int localCopies(ModelId model) {
+        return localCopies.getOrDefault(model, 0);
     }
 
     /** Returns whether a seat of an availability zone serves a model. */
@@ -69,11 +73,11 @@
     }
 
     /** Returns whether a model is served, or could be loaded at once, without a seat. */
-    boolean hadWithout(PlacementView.Seat seat, ModelId model) {
+    boolean availableWithout(PlacementView.Engine seat, ModelId model) {
         int servedHere = seat.holds(model) ? 1 : 0;
         boolean freeHere =
-                freeSeats.contains(seat.upstream()) && seat.nearCopies().containsKey(model);
+                freeEngines.contains(seat.upstream()) && seat.localLoadTimes().containsKey(model);
         return served.getOrDefault(model, 0) > servedHere
-                || free.getOrDefault(model, 0) > (freeHere ? 1 : 0);
+                || freeLocalCopies.getOrDefault(model, 0) > (freeHere ? 1 : 0);
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineCapacity.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineCapacity.java
@@ -34,7 +34,7 @@
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final Map<UpstreamId, Window> windows = new HashMap<>();
-    private double perSecond = PlacementView.UNKNOWN_RATE;
+    private double perSecond = PlacementView.DEFAULT_SATURATING_RATE;
 
     private static final class Window {
         private final long since;
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineViews.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineViews.java
@@ -49,18 +49,18 @@
      * @param storeLoads how many loads from the weight store may begin now
      */
     PlacementView view(ModelDemand demand, int storeLoads, double saturatingRate, long now) {
-        List<PlacementView.Seat> seats = new ArrayList<>();
+        List<PlacementView.Engine> seats = new ArrayList<>();
         engines.forEach(engine -> seats.add(seat(engine)));
-        List<PlacementView.Want> wants = new ArrayList<>();
+        List<PlacementView.DeployedArtifact> wants = new ArrayList<>();
         for (ModelWeights weights : spec.models().values()) {
             wants.add(want(weights, seats, demand, now));
         }
         return new PlacementView(seats, wants, storeLoads, saturatingRate, now);
     }
 
-    private PlacementView.Seat seat(EngineLedger engine) {
+    private PlacementView.Engine seat(EngineLedger engine) {
         Instance instance = engine.instance();
-        List<PlacementView.Held> held = new ArrayList<>();
+        List<PlacementView.ResidentArtifact> held = new ArrayList<>();
         for (ModelCopy copy : engine.models()) {
             long size =
                     (long)
@@ -69,7 +69,7 @@
                                             .map(ModelWeights::weightsMb)
                                             .orElse(0.0));
             held.add(
-                    new PlacementView.Held(
+                    new PlacementView.ResidentArtifact(
                             artifact(copy.model()), size, engine.since(copy.model())));
         }
         Map<ModelId, Duration> near = new HashMap<>();
@@ -80,7 +80,7 @@
                 near.put(weights.model(), weights.loadFromDisk());
             }
         }
-        return new PlacementView.Seat(
+        return new PlacementView.Engine(
                 instance.id(),
                 (long) Math.floor(engine.freeMb(spec)),
                 instance.slots(),
@@ -91,11 +91,11 @@
                 Optional.of(instance.zone()));
     }
 
-    private static PlacementView.Want want(
-            ModelWeights weights, List<PlacementView.Seat> seats, ModelDemand demand, long now) {
+    private static PlacementView.DeployedArtifact want(
+            ModelWeights weights, List<PlacementView.Engine> seats, ModelDemand demand, long now) {
         ModelId model = weights.model();
         boolean resident = seats.stream().anyMatch(seat -> seat.holds(model));
-        return new PlacementView.Want(
+        return new PlacementView.DeployedArtifact(
                 artifact(model),
                 (long) Math.ceil(weights.weightsMb()),
                 Optional.empty(),
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyKeeper.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyKeeper.java
@@ -8,7 +8,7 @@
 import io.stackhall.core.id.ModelId;
 import io.stackhall.core.id.ServiceName;
 import io.stackhall.core.id.UpstreamId;
-import io.stackhall.core.policy.Move;
+import io.stackhall.core.policy.PlacementAction;
 import io.stackhall.core.policy.PlacementPolicy;
 import io.stackhall.core.policy.PlacementView;
 import io.stackhall.core.route.EngineSpec;
@@ -265,22 +265,23 @@
             learning = now - firstEngineAt < SETTLE_NANOS;
         }
         PlacementView view = views.view(demand, store.left(now), capacity.perSecond(), now);
-        boolean nobodyWaits = view.wants().stream().allMatch(want -> want.waiting() == 0);
+        boolean nobodyWaits = view.deployed().stream().allMatch(want -> want.waiting() == 0);
         if (learning && nobodyWaits) {
             return;
         }
-        for (Move move : policy.decide(view)) {
+        for (PlacementAction move : policy.decide(view)) {
             EngineLedger engine = engines.get(move.upstream());
             if (engine == null) {
                 continue;
             }
             ModelId model = move.artifact().id();
             switch (move) {
-                case Move.Load ignored when engine.makesRoom() -> engine.loadNext(model, now);
-                case Move.Load ignored when engine.ready() ->
+                case PlacementAction.Load ignored when engine.makesRoom() ->
+                        engine.loadNext(model, now);
+                case PlacementAction.Load ignored when engine.ready() ->
                         modelLoad(engine, spec, model, now)
                                 .ifPresent(order -> begin(engine, order, effects, now));
-                case Move.Unload ignored when engine.ready() -> {
+                case PlacementAction.Unload ignored when engine.ready() -> {
                     EngineOrder order = newOrder(engine, false, model, Optional.empty(), false);
                     begin(engine, order, effects, now);
                 }
--- a/stackhall-core/src/test/java/io/stackhall/core/policy/NearestCopyPolicyTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/policy/NearestCopyPolicyTest.java
@@ -24,21 +24,21 @@
 
     @Test
     void waitingModelIsLoadedWhereItsWeightsAreAtHand() {
-        List<Move> moves =
+        List<PlacementAction> moves =
                 policy.decide(view(List.of(want("w", 1, 3)), seat("far"), seat("near", "w")));
         assertThat(moves).singleElement().isEqualTo(load("near", "w"));
     }
 
     @Test
     void storeIsNotAskedWhileTheEngineThatHasACopyIsFreeSoon() {
-        PlacementView.Seat busy = busy("near", Optional.empty(), "w");
+        PlacementView.Engine busy = busy("near", Optional.empty(), "w");
         assertThat(policy.decide(view(List.of(want("w", 1, 3)), seat("far"), busy))).isEmpty();
     }
 
     @Test
     void storeIsAskedWhileTheEngineThatHasACopyLoadsFromItItself() {
-        PlacementView.Seat busy = busy("near", Optional.of("other"), "w");
-        List<Move> moves =
+        PlacementView.Engine busy = busy("near", Optional.of("other"), "w");
+        List<PlacementAction> moves =
                 policy.decide(
                         view(
                                 List.of(want("w", 1, 3), want("other", 0, 0)),
@@ -53,26 +53,27 @@
 
     @Test
     void copyThatOthersHaveTooGivesWayBeforeAnOnlyOne() {
-        PlacementView.Seat full = holding("full", List.of("only", "shared"), "only", "shared", "w");
-        PlacementView.Seat other = holding("other", List.of("shared", "x"), "shared", "x");
-        List<PlacementView.Want> wants =
+        PlacementView.Engine full =
+                holding("full", List.of("only", "shared"), "only", "shared", "w");
+        PlacementView.Engine other = holding("other", List.of("shared", "x"), "shared", "x");
+        List<PlacementView.DeployedArtifact> wants =
                 List.of(want("w", 1, 3), want("only", 0, 0), want("shared", 0, 0), want("x", 0, 0));
         assertThat(policy.decide(view(wants, full, other)))
-                .contains(new Move.Unload(new UpstreamId("full"), artifact("shared")));
+                .contains(new PlacementAction.Unload(new UpstreamId("full"), artifact("shared")));
     }
 
     @Test
     void modelThatNoEngineKeepsAtHandIsLoadedBeforeItIsAskedFor() {
-        List<Move> moves = policy.decide(view(List.of(want("w", 0, 0)), seat("a")));
-        assertThat(moves).singleElement().isInstanceOf(Move.Load.class);
+        List<PlacementAction> moves = policy.decide(view(List.of(want("w", 0, 0)), seat("a")));
+        assertThat(moves).singleElement().isInstanceOf(PlacementAction.Load.class);
     }
 
     @Test
     void loadFromTheStoreGoesWhereNoLastCopyAtHandGivesWay() {
-        PlacementView.Seat keepsTheOnly = seat("keeps", "only");
-        PlacementView.Seat keepsShared = seat("shares", "shared");
-        PlacementView.Seat other = busy("other", Optional.empty(), "shared", "x");
-        List<PlacementView.Want> wants =
+        PlacementView.Engine keepsTheOnly = seat("keeps", "only");
+        PlacementView.Engine keepsShared = seat("shares", "shared");
+        PlacementView.Engine other = busy("other", Optional.empty(), "shared", "x");
+        List<PlacementView.DeployedArtifact> wants =
                 List.of(want("w", 1, 3), want("only", 0, 0), want("shared", 0, 0), want("x", 0, 0));
         assertThat(policy.decide(view(wants, keepsTheOnly, keepsShared, other)))
                 .contains(load("shares", "w"));
@@ -80,38 +81,39 @@
 
     @Test
     void modelThatIsAskedForOftenGetsASecondCopyFromTheStore() {
-        PlacementView.Seat serves = holding("serves", List.of("hot"), "hot");
-        List<Move> moves =
+        PlacementView.Engine serves = holding("serves", List.of("hot"), "hot");
+        List<PlacementAction> moves =
                 policy.decide(view(List.of(want("hot", 6, 0)), serves, seat("a"), seat("b")));
-        assertThat(moves).singleElement().matches(move -> move instanceof Move.Load);
+        assertThat(moves).singleElement().matches(move -> move instanceof PlacementAction.Load);
     }
 
     @Test
     void modelThatIsAskedForRarelyGetsNoSecondCopyWhileOthersWait() {
-        PlacementView.Seat serves = holding("serves", List.of("rare", "y"), "rare", "y");
-        List<PlacementView.Want> wants = List.of(want("rare", 0.5, 0), want("y", 0, 1));
+        PlacementView.Engine serves = holding("serves", List.of("rare", "y"), "rare", "y");
+        List<PlacementView.DeployedArtifact> wants = List.of(want("rare", 0.5, 0), want("y", 0, 1));
         assertThat(policy.decide(view(wants, serves, seat("a")))).isEmpty();
     }
 
     @Test
     void weightsThatOneEngineAloneKeepsAreBroughtToAnotherInCalm() {
-        PlacementView.Seat serves = holding("serves", List.of("rare"), "rare");
+        PlacementView.Engine serves = holding("serves", List.of("rare"), "rare");
         assertThat(policy.decide(view(List.of(want("rare", 0, 0)), serves, seat("a"))))
                 .singleElement()
-                .matches(move -> move instanceof Move.Load);
+                .matches(move -> move instanceof PlacementAction.Load);
     }
 
     @Test
     void freePlaceIsFilledFromACopyAtHandThoughNobodyWaits() {
         assertThat(policy.decide(view(List.of(want("w", 0, 0)), seat("a", "w"))))
                 .singleElement()
-                .isInstanceOf(Move.Load.class);
+                .isInstanceOf(PlacementAction.Load.class);
     }
 
     @Test
     void roomIsMadeTogetherWithTheLoadThatNeedsIt() {
-        PlacementView.Seat full = holding("full", List.of("x", "y"), "x", "y", "w");
-        List<PlacementView.Want> wants = List.of(want("w", 1, 3), want("x", 0, 0), want("y", 0, 0));
+        PlacementView.Engine full = holding("full", List.of("x", "y"), "x", "y", "w");
+        List<PlacementView.DeployedArtifact> wants =
+                List.of(want("w", 1, 3), want("x", 0, 0), want("y", 0, 0));
         assertThat(policy.decide(view(wants, full)))
                 .hasSize(2)
                 .element(1)
@@ -120,7 +122,7 @@
 
     @Test
     void secondCopyGoesToAnotherZone() {
-        PlacementView.Seat serves = holding("a1", List.of("hot"), "hot");
+        PlacementView.Engine serves = holding("a1", List.of("hot"), "hot");
         assertThat(policy.decide(view(List.of(want("hot", 6, 0)), serves, seat("a2"), seat("b1"))))
                 .singleElement()
                 .matches(move -> move.upstream().value().equals("b1"));
@@ -128,9 +130,9 @@
 
     @Test
     void whoeverIsAskedForMostIsPlacedBeforeOneThatASingleRequestWaitsFor() {
-        PlacementView.Seat serves = holding("serves", List.of("hot", "hot2"), "hot");
-        PlacementView.Seat free = seat("free", "hot", "w");
-        List<PlacementView.Want> wants =
+        PlacementView.Engine serves = holding("serves", List.of("hot", "hot2"), "hot");
+        PlacementView.Engine free = seat("free", "hot", "w");
+        List<PlacementView.DeployedArtifact> wants =
                 List.of(want("hot", 40, 10), want("w", 0.2, 1), want("hot2", 1, 0));
         assertThat(policy.decide(view(wants, serves, free)))
                 .first()
@@ -139,28 +141,28 @@
 
     @Test
     void enginesThatDoMoreNeedFewerCopies() {
-        PlacementView.Seat one = holding("a1", List.of("hot"), "hot");
-        PlacementView.Seat two = holding("b1", List.of("hot"), "hot");
-        PlacementView.Seat full = holding("c1", List.of("x", "y"), "hot", "x", "y");
-        List<PlacementView.Want> wants =
+        PlacementView.Engine one = holding("a1", List.of("hot"), "hot");
+        PlacementView.Engine two = holding("b1", List.of("hot"), "hot");
+        PlacementView.Engine full = holding("c1", List.of("x", "y"), "hot", "x", "y");
+        List<PlacementView.DeployedArtifact> wants =
                 List.of(want("hot", 20, 0), want("x", 0.5, 0), want("y", 0.5, 0));
-        List<PlacementView.Seat> seats = List.of(one, two, full);
+        List<PlacementView.Engine> seats = List.of(one, two, full);
         assertThat(policy.decide(new PlacementView(seats, wants, 7, 8, NOW))).isNotEmpty();
         assertThat(policy.decide(new PlacementView(seats, wants, 7, 80, NOW))).isEmpty();
     }
 
     @Test
     void loadTimeIsThatOfTheModel() {
-        PlacementView.Seat full = holding("full", List.of("x"), "x");
-        PlacementView.Seat other = holding("other", List.of("hot", "z"), "hot", "x");
-        List<PlacementView.Want> quick =
+        PlacementView.Engine full = holding("full", List.of("x"), "x");
+        PlacementView.Engine other = holding("other", List.of("hot", "z"), "hot", "x");
+        List<PlacementView.DeployedArtifact> quick =
                 List.of(want("hot", 4, 0, 1), want("x", 0, 0, 1), want("z", 0.1, 0, 1));
-        List<PlacementView.Want> slow =
+        List<PlacementView.DeployedArtifact> slow =
                 List.of(want("hot", 4, 0, 60), want("x", 0, 0, 60), want("z", 0.1, 0, 60));
         assertThat(policy.decide(view(quick, full, other)))
-                .anyMatch(move -> move instanceof Move.Load);
+                .anyMatch(move -> move instanceof PlacementAction.Load);
         assertThat(policy.decide(view(slow, full, other)))
-                .noneMatch(move -> move instanceof Move.Load);
+                .noneMatch(move -> move instanceof PlacementAction.Load);
     }
 
     /**
@@ -168,8 +170,8 @@
      */
     @Test
     void rareModelsThatWaitTogetherTakeAThirdOfTheEnginesAtMost() {
-        List<PlacementView.Want> wants = new ArrayList<>();
-        List<PlacementView.Seat> seats = new ArrayList<>();
+        List<PlacementView.DeployedArtifact> wants = new ArrayList<>();
+        List<PlacementView.Engine> seats = new ArrayList<>();
         for (int number = 0; number < 9; number++) {
             wants.add(want("rare" + number, 0.3, 1, 8));
             seats.add(seat("engine" + number));
@@ -182,28 +184,29 @@
     /** An engine that loads for long cannot load what it alone has at hand. */
     @Test
     void loadFromTheStoreGoesWhereItBlocksNoOtherModel() {
-        List<PlacementView.Want> wants =
+        List<PlacementView.DeployedArtifact> wants =
                 List.of(
                         want("rare", 0.3, 1, 8),
                         want("next", 0, 0, 8),
                         want("x", 0, 0, 8),
                         want("y", 0, 0, 8));
-        List<PlacementView.Seat> seats =
+        List<PlacementView.Engine> seats =
                 List.of(
                         holding("alone", List.of("x", "y"), "x", "y", "next"),
                         holding("also", List.of("x", "y"), "x", "y"));
         assertThat(loads(wants, seats)).contains(load("also", "rare"));
     }
 
-    private List<Move> loads(List<PlacementView.Want> wants, List<PlacementView.Seat> seats) {
+    private List<PlacementAction> loads(
+            List<PlacementView.DeployedArtifact> wants, List<PlacementView.Engine> seats) {
         return policy.decide(new PlacementView(seats, wants, 20, NOW)).stream()
-                .filter(Move.Load.class::isInstance)
+                .filter(PlacementAction.Load.class::isInstance)
                 .toList();
     }
 
-    private static PlacementView.Want want(
+    private static PlacementView.DeployedArtifact want(
             String model, double rate, int waiting, int storeSeconds) {
-        return new PlacementView.Want(
+        return new PlacementView.DeployedArtifact(
                 artifact(model),
                 100,
                 Optional.empty(),
@@ -215,27 +218,29 @@
                 Duration.ofSeconds(storeSeconds));
     }
 
-    private static Move load(String seat, String model) {
-        return new Move.Load(new UpstreamId(seat), artifact(model), true);
+    private static PlacementAction load(String seat, String model) {
+        return new PlacementAction.Load(new UpstreamId(seat), artifact(model), true);
     }
 
-    private static PlacementView view(List<PlacementView.Want> wants, PlacementView.Seat... seats) {
+    private static PlacementView view(
+            List<PlacementView.DeployedArtifact> wants, PlacementView.Engine... seats) {
         return new PlacementView(List.of(seats), wants, 7, NOW);
     }
 
-    private static PlacementView.Seat seat(String name, String... near) {
+    private static PlacementView.Engine seat(String name, String... near) {
         return holding(name, List.of(), near);
     }
 
-    private static PlacementView.Seat holding(String name, List<String> held, String... near) {
+    private static PlacementView.Engine holding(String name, List<String> held, String... near) {
         return seat(name, held, false, Optional.empty(), near);
     }
 
-    private static PlacementView.Seat busy(String name, Optional<String> loading, String... near) {
+    private static PlacementView.Engine busy(
+            String name, Optional<String> loading, String... near) {
         return seat(name, List.of(), true, loading, near);
     }
 
-    private static PlacementView.Seat seat(
+    private static PlacementView.Engine seat(
             String name,
             List<String> held,
             boolean busy,
@@ -243,12 +248,12 @@
             String... near) {
         Map<ModelId, Duration> copies = new java.util.HashMap<>();
         Arrays.stream(near).forEach(model -> copies.put(new ModelId(model), NEAR));
-        return new PlacementView.Seat(
+        return new PlacementView.Engine(
                 new UpstreamId(name),
                 200L - 100L * held.size(),
                 4,
                 held.stream()
-                        .map(model -> new PlacementView.Held(artifact(model), 100, 0))
+                        .map(model -> new PlacementView.ResidentArtifact(artifact(model), 100, 0))
                         .toList(),
                 busy,
                 loading.map(NearestCopyPolicyTest::artifact),
@@ -256,8 +261,8 @@
                 Optional.of(new ZoneId(name.substring(0, 1))));
     }
 
-    private static PlacementView.Want want(String model, double rate, int waiting) {
-        return new PlacementView.Want(
+    private static PlacementView.DeployedArtifact want(String model, double rate, int waiting) {
+        return new PlacementView.DeployedArtifact(
                 artifact(model), 100, Optional.empty(), 1, rate, waiting, 0, 0);
     }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/policy/PlacementPolicyTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/policy/PlacementPolicyTest.java
@@ -28,15 +28,15 @@
                         want("idle", 0.01, 0, 0, NOW - SECOND),
                         want("new", 0.1, 1, 0, NOW));
         assertThat(decide(PolicyName.EXPECTED_GAIN, view))
-                .containsExactly(new Move.Unload(UPSTREAM, artifact("idle")));
+                .containsExactly(new PlacementAction.Unload(UPSTREAM, artifact("idle")));
         assertThat(decide(PolicyName.LEAST_RECENTLY_USED, view))
-                .containsExactly(new Move.Unload(UPSTREAM, artifact("busy")));
+                .containsExactly(new PlacementAction.Unload(UPSTREAM, artifact("busy")));
     }
 
     @Test
     void expectedGainKeepsABusyModelUntilTheOtherHasStarvedLongEnough() {
-        List<PlacementView.Held> resident = List.of(held("busy", 60));
-        PlacementView.Want busy = want("busy", 0.2, 0, 0, NOW);
+        List<PlacementView.ResidentArtifact> resident = List.of(held("busy", 60));
+        PlacementView.DeployedArtifact busy = want("busy", 0.2, 0, 0, NOW);
         assertThat(
                         decide(
                                 PolicyName.EXPECTED_GAIN,
@@ -46,7 +46,7 @@
                         decide(
                                 PolicyName.EXPECTED_GAIN,
                                 view(0, resident, busy, want("rare", 0.01, 1, 20, NOW))))
-                .containsExactly(new Move.Unload(UPSTREAM, artifact("busy")));
+                .containsExactly(new PlacementAction.Unload(UPSTREAM, artifact("busy")));
     }
 
     @Test
@@ -66,65 +66,67 @@
             PlacementView view = view(500, List.of(), want("new", 0.1, 1, 0, NOW));
             assertThat(decide(name, view))
                     .as(name.text())
-                    .containsExactly(new Move.Load(UPSTREAM, artifact("new"), true));
+                    .containsExactly(new PlacementAction.Load(UPSTREAM, artifact("new"), true));
         }
     }
 
     @Test
     void modelThatCarriesAdaptersIsEvictedAfterThem() {
-        PlacementView.Held base = held("base", 60);
-        PlacementView.Held adapter =
-                new PlacementView.Held(artifact("adapter"), 1, NOW - 60 * SECOND);
-        PlacementView.Want wantsBase =
-                new PlacementView.Want(
+        PlacementView.ResidentArtifact base = held("base", 60);
+        PlacementView.ResidentArtifact adapter =
+                new PlacementView.ResidentArtifact(artifact("adapter"), 1, NOW - 60 * SECOND);
+        PlacementView.DeployedArtifact wantsBase =
+                new PlacementView.DeployedArtifact(
                         artifact("adapter"), 1, Optional.of(artifact("base")), 1, 0.01, 0, 0, NOW);
-        PlacementView.Want starving = want("new", 0.1, 1, 30, NOW);
-        PlacementView.Want idle = want("base", 0.01, 0, 0, NOW);
+        PlacementView.DeployedArtifact starving = want("new", 0.1, 1, 30, NOW);
+        PlacementView.DeployedArtifact idle = want("base", 0.01, 0, 0, NOW);
         for (PolicyName name : List.of(PolicyName.EXPECTED_GAIN, PolicyName.LEAST_RECENTLY_USED)) {
             PlacementView both = view(0, List.of(base, adapter), idle, wantsBase, starving);
             assertThat(decide(name, both))
                     .as(name.text())
-                    .containsExactly(new Move.Unload(UPSTREAM, artifact("adapter")));
+                    .containsExactly(new PlacementAction.Unload(UPSTREAM, artifact("adapter")));
             PlacementView left = view(1, List.of(base), idle, wantsBase, starving);
             assertThat(decide(name, left))
                     .as(name.text())
-                    .containsExactly(new Move.Unload(UPSTREAM, artifact("base")));
+                    .containsExactly(new PlacementAction.Unload(UPSTREAM, artifact("base")));
         }
     }
 
     @Test
     void oldVersionStaysUntilTheNewOneServes() {
         Artifact old = new Artifact(new ModelId("m"), "0");
-        PlacementView.Held heldOld = new PlacementView.Held(old, 100, 0);
-        PlacementView.Want want = want("m", 1, 0, 0, NOW);
+        PlacementView.ResidentArtifact heldOld = new PlacementView.ResidentArtifact(old, 100, 0);
+        PlacementView.DeployedArtifact want = want("m", 1, 0, 0, NOW);
         for (PolicyName name : PolicyName.values()) {
             assertThat(decide(name, view(0, List.of(heldOld), want)))
                     .as(name.text())
-                    .noneMatch(move -> move instanceof Move.Unload);
+                    .noneMatch(move -> move instanceof PlacementAction.Unload);
             assertThat(decide(name, view(0, List.of(heldOld, held("m", 60)), want)))
                     .as(name.text())
-                    .containsExactly(new Move.Unload(UPSTREAM, old));
+                    .containsExactly(new PlacementAction.Unload(UPSTREAM, old));
         }
     }
 
-    private static List<Move> decide(PolicyName name, PlacementView view) {
+    private static List<PlacementAction> decide(PolicyName name, PlacementView view) {
         return PlacementPolicy.of(name).decide(view);
     }
 
     private static PlacementView view(
-            long freeMib, List<PlacementView.Held> held, PlacementView.Want... wants) {
-        PlacementView.Seat seat =
-                new PlacementView.Seat(UPSTREAM, freeMib, 4, held, false, Optional.empty());
+            long freeMib,
+            List<PlacementView.ResidentArtifact> held,
+            PlacementView.DeployedArtifact... wants) {
+        PlacementView.Engine seat =
+                new PlacementView.Engine(UPSTREAM, freeMib, 4, held, false, Optional.empty());
         return new PlacementView(List.of(seat), List.of(wants), 10, NOW);
     }
 
-    private static PlacementView.Held held(String model, long secondsAgo) {
-        return new PlacementView.Held(artifact(model), 100, NOW - secondsAgo * SECOND);
+    private static PlacementView.ResidentArtifact held(String model, long secondsAgo) {
+        return new PlacementView.ResidentArtifact(artifact(model), 100, NOW - secondsAgo * SECOND);
     }
 
-    private static PlacementView.Want want(
+    private static PlacementView.DeployedArtifact want(
             String model, double rate, int waiting, double starved, long lastUsed) {
-        return new PlacementView.Want(
+        return new PlacementView.DeployedArtifact(
                 artifact(model), 100, Optional.empty(), 1, rate, waiting, starved, lastUsed);
     }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplay.java
@@ -3,7 +3,7 @@
 import io.stackhall.core.id.HostId;
 import io.stackhall.core.id.ModelId;
 import io.stackhall.core.membership.Artifact;
-import io.stackhall.core.policy.Move;
+import io.stackhall.core.policy.PlacementAction;
 import io.stackhall.core.policy.PlacementPolicy;
 import io.stackhall.core.policy.PlacementView;
 import java.time.Duration;
@@ -256,18 +256,18 @@
                 });
         demand.reported(HOST, Map.copyOf(arrivals), waits, nanos(now));
         arrivals.clear();
-        for (Move move : policy.decide(view(now))) {
+        for (PlacementAction move : policy.decide(view(now))) {
             ReplayEngine engine =
                     engines.stream()
                             .filter(each -> each.id.equals(move.upstream()))
                             .findFirst()
                             .orElseThrow();
             switch (move) {
-                case Move.Unload unload -> {
+                case PlacementAction.Unload unload -> {
                     engine.held.remove(unload.artifact().id());
                     engine.orderEnds = now + UNLOAD;
                 }
-                case Move.Load load -> {
+                case PlacementAction.Load load -> {
                     if (engine.orderEnds > now) {
                         engine.nextLoads.addLast(load.artifact().id());
                     } else {
@@ -279,15 +279,17 @@
     }
 
     private PlacementView view(long now) {
-        List<PlacementView.Seat> seats = new ArrayList<>();
+        List<PlacementView.Engine> seats = new ArrayList<>();
         for (ReplayEngine engine : engines) {
             if (engine.limited() && limitedLeftOut) {
                 continue;
             }
-            List<PlacementView.Held> held = new ArrayList<>();
+            List<PlacementView.ResidentArtifact> held = new ArrayList<>();
             engine.held.forEach(
                     (model, since) ->
-                            held.add(new PlacementView.Held(new Artifact(model, ""), 100, since)));
+                            held.add(
+                                    new PlacementView.ResidentArtifact(
+                                            new Artifact(model, ""), 100, since)));
             Map<ModelId, Duration> near = new HashMap<>();
             engine.disk.forEach(
                     model -> near.put(model, Duration.ofMillis(ReplayEngine.FROM_DISK)));
@@ -296,7 +298,7 @@
             boolean busy = engine.orderEnds > now || !engine.nextLoads.isEmpty();
             long free = (PLACES - held.size() - (engine.loading.isPresent() ? 1 : 0)) * 100L;
             seats.add(
-                    new PlacementView.Seat(
+                    new PlacementView.Engine(
                             engine.id,
                             free,
                             64,
@@ -306,14 +308,14 @@
                             near,
                             Optional.of(engine.zone)));
         }
-        List<PlacementView.Want> wants = new ArrayList<>();
+        List<PlacementView.DeployedArtifact> wants = new ArrayList<>();
         models.forEach(model -> wants.add(want(model, now)));
         int storeLoadsNow = (int) engines.stream().filter(engine -> engine.fromStore).count();
         return new PlacementView(
                 seats, wants, STORE_LOADS_AT_ONCE - storeLoadsNow, 1000.0 / PROMPT, nanos(now));
     }
 
-    private PlacementView.Want want(Model model, long now) {
+    private PlacementView.DeployedArtifact want(Model model, long now) {
         boolean resident = engines.stream().anyMatch(one -> one.held.containsKey(model.id()));
         double asked = demand.ratePerSecond(model.id(), nanos(now));
         long nearest =
@@ -322,7 +324,7 @@
                         .mapToLong(Long::longValue)
                         .min()
                         .orElse(FROM_STORE);
-        return new PlacementView.Want(
+        return new PlacementView.DeployedArtifact(
                 model.artifact(),
                 100,
                 Optional.empty(),
