--- a/stackhall-core/src/main/java/io/stackhall/core/policy/CopyValue.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/CopyValue.java
@@ -2,39 +2,46 @@
 
 import java.util.Optional;
 
-/** What copies of models are worth, in service and at hand, for the policy that places them. */
+/**
+ * Estimates the value of a copy of a model, resident in an engine or as local weights, for {@link
+ * NearestCopyPolicy}. Values and costs share one arbitrary scale.
+ */
 final class CopyValue {
 
-    /** The worth of a first copy, for each request a second. */
+    /** The value of a first copy, per request per second. */
     private static final double FIRST_COPY_VALUE = 10;
 
-    /** Even a model that nobody asks for keeps one place rather than none. */
+    /** The value of a first copy of a model without requests: better one copy than none. */
     private static final double IDLE_COPY_VALUE = 0.2;
 
-    /** Where one engine alone keeps the weights at hand, it may be busy when they are asked for. */
+    /**
+     * Additional value of an only copy whose weights at most one engine stores locally: that engine
+     * may be busy when the model is requested again.
+     */
     private static final double ONLY_LOCAL_COPY_VALUE = 1.5;
 
     /**
-     * A second copy also serves while the engine of the first is lost or busy with a load, and is
-     * there when demand grows, for each request a second: a model that is asked for twice a second
-     * is worth a load of 9 s from the store.
+     * The value of a second copy, per request per second: it also serves while the engine of the
+     * first is lost or busy with a load, and is available when demand grows. With this value a
+     * model with 2 requests per second justifies a load of 9 s from the weight store.
      */
     private static final double SECOND_COPY_VALUE = 5;
 
-    /** The worth of a further copy, for each request a second and each mean service time saved. */
+    /** The value of a further copy, per request per second and per mean service time saved. */
     private static final double QUEUEING_RELIEF_VALUE = 0.5;
 
-    /** Up to this utilization the queue is that of one server with random arrivals. */
+    /** Up to this utilization the wait is that of a single server with random arrivals. */
     private static final double MAX_QUEUE_MODEL_UTILIZATION = 0.8;
 
     /**
-     * The risk of a model whose weights one engine alone keeps at hand; it falls by the square of
-     * their number. On one day of trouble the six disks that had kept a model lost it to loads of
-     * others; asked for 12 times a second, it was then refused 114 times.
+     * The expected loss for a model whose weights only one engine holds; it falls with the square
+     * of the number of engines. In one run with failures, loads of other models displaced a model
+     * from all six disks that had stored it; at 12 requests per second, 114 of its requests were
+     * then refused.
      */
     private static final double SINGLE_LOCATION_RISK = 20;
 
-    /** A model whose weights no engine keeps at hand cannot be served within a deadline at all. */
+    /** The expected loss for a model whose weights no engine holds: no deadline can be met. */
     private static final double NO_LOCATION_RISK = 40;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -42,67 +49,70 @@
     private CopyValue() {}
 
     /**
-     * Returns what a load from the store costs by the copy at hand that gives way to its own: the
-     * mean over those that the engine keeps and does not serve, as which one goes is not known.
+     * Returns the cost of the local weights that a load from the store displaces on an engine. It
+     * is not known which ones are displaced, so this is the mean over all local weights that the
+     * engine does not serve.
      */
-    static double displacementCost(PlacementPlan planning, PlacementView.Engine seat) {
-        return seat.localLoadTimes().keySet().stream()
-                .filter(model -> !seat.holds(model))
-                .mapToLong(model -> planning.weightLocations().locations(model))
-                .mapToDouble(homes -> locationRisk(homes - 1) - locationRisk(homes))
+    static double displacementCost(PlacementPlan plan, PlacementView.Engine engine) {
+        return engine.localLoadTimes().keySet().stream()
+                .filter(model -> !engine.holds(model))
+                .mapToLong(model -> plan.weightLocations().locations(model))
+                .mapToDouble(locations -> locationRisk(locations - 1) - locationRisk(locations))
                 .average()
                 .orElse(0);
     }
 
     /**
-     * Returns what one more engine with a model's weights at hand is worth: a further one nothing
-     * while requests wait, for which the engines should be free.
+     * Returns the value of one more engine that holds a model's weights. While requests wait, only
+     * the first location has a value, since engines should stay free for those requests.
      */
-    static double ofWeightLocation(PlacementPlan planning, PlacementView.DeployedArtifact want) {
-        long homes = planning.weightLocations().locations(want.artifact().id());
-        return homes == 0 || planning.noneWaiting()
-                ? locationRisk(homes) - locationRisk(homes + 1)
+    static double ofWeightLocation(PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        long locations = plan.weightLocations().locations(deployed.artifact().id());
+        return locations == 0 || plan.noneWaiting()
+                ? locationRisk(locations) - locationRisk(locations + 1)
                 : 0;
     }
 
-    /** Returns the expected loss by a model whose weights some engines keep at hand. */
-    private static double locationRisk(long homes) {
-        return homes == 0 ? NO_LOCATION_RISK : SINGLE_LOCATION_RISK / (homes * homes);
+    /** Returns the expected loss for a model whose weights a number of engines hold. */
+    private static double locationRisk(long locations) {
+        return locations == 0 ? NO_LOCATION_RISK : SINGLE_LOCATION_RISK / (locations * locations);
     }
 
-    /** Returns what one more copy is worth, beside those that are there or coming. */
-    static double ofNextCopy(PlacementPlan planning, PlacementView.DeployedArtifact want) {
-        int next = planning.copies(want.artifact()) + planning.pendingLoads(want.artifact()) + 1;
-        return ofCopy(planning, want, next);
+    /** Returns the value of one more copy, given the resident ones and those being loaded. */
+    static double ofNextCopy(PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        int next = plan.copies(deployed.artifact()) + plan.pendingLoads(deployed.artifact()) + 1;
+        return ofCopy(plan, deployed, next);
     }
 
-    /** Returns what is lost with one of the copies there are. */
-    static double ofResidentCopy(PlacementPlan planning, PlacementView.ResidentArtifact held) {
-        Optional<PlacementView.DeployedArtifact> want = planning.deployed(held.artifact().id());
-        if (want.isEmpty()) {
+    /** Returns the value that is lost when one of the resident copies is evicted. */
+    static double ofResidentCopy(PlacementPlan plan, PlacementView.ResidentArtifact resident) {
+        Optional<PlacementView.DeployedArtifact> deployed = plan.deployed(resident.artifact().id());
+        if (deployed.isEmpty()) {
             return 0;
         }
-        int copies = Math.max(1, planning.copies(held.artifact()));
-        boolean rare =
-                copies == 1 && planning.weightLocations().localCopies(held.artifact().id()) <= 1;
-        return ofCopy(planning, want.get(), copies)
-                + recencyValue(planning, want.get())
-                + (rare ? ONLY_LOCAL_COPY_VALUE : 0);
+        int copies = Math.max(1, plan.copies(resident.artifact()));
+        boolean onlyLocalCopy =
+                copies == 1 && plan.weightLocations().localCopies(resident.artifact().id()) <= 1;
+        return ofCopy(plan, deployed.get(), copies)
+                + recencyValue(plan, deployed.get())
+                + (onlyLocalCopy ? ONLY_LOCAL_COPY_VALUE : 0);
     }
 
-    static double ofCopy(PlacementPlan planning, PlacementView.DeployedArtifact want, int copy) {
-        double rate = want.ratePerSecond();
+    /** Returns the value of the copy of a given ordinal number, where 1 is the first. */
+    static double ofCopy(PlacementPlan plan, PlacementView.DeployedArtifact deployed, int copy) {
+        double rate = deployed.ratePerSecond();
         if (copy <= 1) {
-            return FIRST_COPY_VALUE * rate + IDLE_COPY_VALUE + want.waiting();
+            return FIRST_COPY_VALUE * rate + IDLE_COPY_VALUE + deployed.waiting();
         }
-        double most = planning.view().saturatingRate();
-        double relief = meanWait(rate / (copy - 1) / most) - meanWait(rate / copy / most);
-        double spare = copy == 2 ? SECOND_COPY_VALUE * rate : 0;
-        return QUEUEING_RELIEF_VALUE * rate * relief + spare;
+        double capacity = plan.view().saturatingRate();
+        double relief = meanWait(rate / (copy - 1) / capacity) - meanWait(rate / copy / capacity);
+        double availability = copy == 2 ? SECOND_COPY_VALUE * rate : 0;
+        return QUEUEING_RELIEF_VALUE * rate * relief + availability;
     }
 
     /**
-     * Returns the mean wait at an engine, in service times; beyond the knee it goes on straight.
+     * Returns the mean wait at an engine, in service times; extrapolated linearly beyond {@link
+     * #MAX_QUEUE_MODEL_UTILIZATION}.
      */
     private static double meanWait(double utilization) {
         if (utilization <= MAX_QUEUE_MODEL_UTILIZATION) {
@@ -113,10 +123,10 @@
                 + slope * (utilization - MAX_QUEUE_MODEL_UTILIZATION);
     }
 
-    /** Among equals the one asked for longest ago goes first. */
+    /** Breaks ties: of equal copies the one requested longest ago is evicted first. */
     private static double recencyValue(
-            PlacementPlan planning, PlacementView.DeployedArtifact want) {
-        double seconds = (planning.view().now() - want.lastUsed()) / NANOS_PER_SECOND;
+            PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        double seconds = (plan.view().now() - deployed.lastUsed()) / NANOS_PER_SECOND;
         return 0.1 / (1 + Math.max(0, seconds));
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/EngineCosts.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/EngineCosts.java
@@ -6,20 +6,22 @@
 import java.util.List;
 
 /**
- * What it costs to use one seat, whichever model is placed there; worked out once a decision.
+ * Costs of loading a model into one engine that do not depend on the model; computed once per
+ * decision.
  *
- * @param crowd requests a second that the seat serves, where each copy takes its equal share
- * @param displaced what a load from the store costs by the weights at hand that give way to it
- * @param byLoss what the seat holds, the cheapest to lose first
+ * @param servedRate requests per second that the engine serves, assuming that the copies of a model
+ *     share its requests equally
+ * @param displacementCost cost of the local weights that a load from the store displaces
+ * @param evictionCandidates the resident artifacts, least valuable first
  */
 record EngineCosts(
         double servedRate, double displacementCost, List<EvictionCandidate> evictionCandidates) {
 
     /**
-     * Something that a seat holds.
+     * A resident artifact that could be evicted.
      *
-     * @param held what it is
-     * @param worth what is lost with it
+     * @param resident the artifact
+     * @param value the value that its eviction loses
      */
     record EvictionCandidate(PlacementView.ResidentArtifact resident, double value) {}
 
@@ -28,17 +30,19 @@
         evictionCandidates = List.copyOf(evictionCandidates);
     }
 
-    static EngineCosts of(PlacementPlan planning, PlacementView.Engine seat) {
-        double crowd = 0;
+    static EngineCosts of(PlacementPlan plan, PlacementView.Engine engine) {
+        double servedRate = 0;
         List<EvictionCandidate> losses = new ArrayList<>();
-        for (PlacementView.ResidentArtifact held : seat.resident()) {
-            ModelId model = held.artifact().id();
-            int copies = Math.max(1, planning.copies(held.artifact()));
-            crowd +=
-                    planning.deployed(model).map(want -> want.ratePerSecond() / copies).orElse(0.0);
-            losses.add(new EvictionCandidate(held, CopyValue.ofResidentCopy(planning, held)));
+        for (PlacementView.ResidentArtifact resident : engine.resident()) {
+            ModelId model = resident.artifact().id();
+            int copies = Math.max(1, plan.copies(resident.artifact()));
+            servedRate +=
+                    plan.deployed(model)
+                            .map(deployed -> deployed.ratePerSecond() / copies)
+                            .orElse(0.0);
+            losses.add(new EvictionCandidate(resident, CopyValue.ofResidentCopy(plan, resident)));
         }
         losses.sort(Comparator.comparingDouble(EvictionCandidate::value));
-        return new EngineCosts(crowd, CopyValue.displacementCost(planning, seat), losses);
+        return new EngineCosts(servedRate, CopyValue.displacementCost(plan, engine), losses);
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/ExpectedGainPolicy.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/ExpectedGainPolicy.java
@@ -10,13 +10,13 @@
 import java.util.Set;
 
 /**
- * Weighs the requests that a load is expected to serve against those that the evicted artifacts are
- * expected to lose.
+ * Compares the requests that a load is expected to serve with those that its evictions are expected
+ * to lose.
  *
- * <p>A model that requests wait for is loaded where the expected loss is least; it is never refused
- * for good, so that every model stays reachable. A further copy must earn its cost by a margin.
- * What has just been loaded stays for a least time, so that two models do not swap for ever. Idle
- * loads only take memory that is free.
+ * <p>A model with waiting requests is loaded where the expected loss is least. It is loaded in the
+ * end however small its demand, so that every model stays reachable. A further copy must gain more
+ * than its cost by a margin. A loaded artifact stays for a minimum time, so that two models do not
+ * evict each other endlessly. Loads without waiting requests only use free memory.
  */
 public final class ExpectedGainPolicy implements PlacementPolicy {
 
@@ -26,164 +26,168 @@
     private static final double FURTHER_COPY_LOSS_SHARE = 0.25;
     private static final double STARVATION_VALUE_PER_SECOND = 1;
 
-    /** Loads that idle copies leave to requests that may come. */
+    /** Loads from the store that are kept available for requests that may arrive. */
     private static final int RESERVED_LOADS = 4;
 
-    /** Where not everything fits, what is asked for less often is only loaded on demand. */
+    /**
+     * If the deployment does not fit into memory, artifacts with fewer requests per second are
+     * loaded only on demand.
+     */
     private static final double MIN_IDLE_LOAD_RATE = 0.02;
 
     private static final long MIN_RESIDENCE_NANOS = Duration.ofSeconds(6).toNanos();
 
     @Override
     public List<PlacementAction> decide(PlacementView view) {
-        PlacementPlan planning = new PlacementPlan(view);
-        planning.dropObsolete();
-        boolean everythingFits = planning.everythingFits();
+        PlacementPlan plan = new PlacementPlan(view);
+        plan.dropObsolete();
+        boolean everythingFits = plan.everythingFits();
         view.deployed().stream()
-                .filter(want -> want.waiting() > 0)
+                .filter(deployed -> deployed.waiting() > 0)
                 .sorted(Comparator.comparingDouble(ExpectedGainPolicy::valueDensity).reversed())
-                .forEach(want -> serveWaiting(planning, want));
+                .forEach(deployed -> serveWaiting(plan, deployed));
         view.deployed().stream()
-                .filter(want -> planning.copies(want.artifact()) < want.floor())
-                .filter(want -> everythingFits || want.ratePerSecond() > MIN_IDLE_LOAD_RATE)
+                .filter(deployed -> plan.copies(deployed.artifact()) < deployed.floor())
+                .filter(deployed -> everythingFits || deployed.ratePerSecond() > MIN_IDLE_LOAD_RATE)
                 .sorted(Comparator.comparingDouble(ExpectedGainPolicy::valueDensity).reversed())
-                .forEach(want -> loadIntoFreeMemory(planning, want));
-        return planning.actions();
+                .forEach(deployed -> loadIntoFreeMemory(plan, deployed));
+        return plan.actions();
     }
 
-    /** A room that can be made on one seat, and what it is expected to cost. */
-    private record LoadOption(PlacementView.Engine seat, List<Artifact> evicted, double loss) {}
+    /** A possible load on one engine: the evictions it needs and their expected loss. */
+    private record LoadOption(PlacementView.Engine engine, List<Artifact> evicted, double loss) {}
 
-    private static void serveWaiting(PlacementPlan planning, PlacementView.DeployedArtifact want) {
-        if (planning.hasPendingLoad(want.artifact())) {
+    private static void serveWaiting(PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        if (plan.hasPendingLoad(deployed.artifact())) {
             return;
         }
-        Optional<LoadOption> cheapest = cheapestOption(planning, want);
-        if (cheapest.isEmpty() || !gainsEnough(planning, want, cheapest.get())) {
+        Optional<LoadOption> cheapest = cheapestOption(plan, deployed);
+        if (cheapest.isEmpty() || !gainsEnough(plan, deployed, cheapest.get())) {
             return;
         }
-        LoadOption room = cheapest.get();
-        if (!room.evicted().isEmpty()) {
-            planning.unload(room.seat(), room.evicted().getFirst());
-        } else if (planning.loadsLeft() > 0) {
-            planning.load(room.seat(), want);
+        LoadOption option = cheapest.get();
+        if (!option.evicted().isEmpty()) {
+            plan.unload(option.engine(), option.evicted().getFirst());
+        } else if (plan.loadsLeft() > 0) {
+            plan.load(option.engine(), deployed);
         }
     }
 
     /**
-     * Returns whether a load is worth what it evicts. A model that is nowhere gains weight as it
-     * starves, so that it is loaded in the end however little it is asked for; a further copy must
-     * earn its cost by a margin.
+     * Returns whether a load gains more than its evictions lose. The gain of a model that is
+     * resident nowhere grows with the time it is starved, so that it is loaded in the end however
+     * small its demand; a further copy must gain more than its cost by a margin.
      */
     private static boolean gainsEnough(
-            PlacementPlan planning, PlacementView.DeployedArtifact want, LoadOption room) {
-        if (planning.copies(want.artifact()) == 0) {
-            double gain = value(want) + want.starvedSeconds() * STARVATION_VALUE_PER_SECOND;
-            return room.evicted().isEmpty() || gain > room.loss();
+            PlacementPlan plan, PlacementView.DeployedArtifact deployed, LoadOption option) {
+        if (plan.copies(deployed.artifact()) == 0) {
+            double gain = value(deployed) + deployed.starvedSeconds() * STARVATION_VALUE_PER_SECOND;
+            return option.evicted().isEmpty() || gain > option.loss();
         }
         int slots =
-                planning.view().engines().stream()
-                        .filter(seat -> seat.holds(want.artifact()))
+                plan.view().engines().stream()
+                        .filter(engine -> engine.holds(deployed.artifact()))
                         .mapToInt(PlacementView.Engine::slots)
                         .sum();
-        double unserved = want.waiting() - slots;
-        return unserved > GAIN_MARGIN * room.loss() + LOAD_COST_REQUESTS;
+        double unserved = deployed.waiting() - slots;
+        return unserved > GAIN_MARGIN * option.loss() + LOAD_COST_REQUESTS;
     }
 
     private static void loadIntoFreeMemory(
-            PlacementPlan planning, PlacementView.DeployedArtifact want) {
-        if (planning.loadsLeft() > RESERVED_LOADS && !planning.hasPendingLoad(want.artifact())) {
-            StaticPolicy.engineWithMostFreeMemory(planning, want)
-                    .ifPresent(seat -> planning.load(seat, want));
+            PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        if (plan.loadsLeft() > RESERVED_LOADS && !plan.hasPendingLoad(deployed.artifact())) {
+            StaticPolicy.engineWithMostFreeMemory(plan, deployed)
+                    .ifPresent(engine -> plan.load(engine, deployed));
         }
     }
 
     private static Optional<LoadOption> cheapestOption(
-            PlacementPlan planning, PlacementView.DeployedArtifact want) {
-        return planning.view().engines().stream()
-                .filter(planning::available)
-                .filter(seat -> planning.baseReady(seat, want))
-                .filter(seat -> !seat.holds(want.artifact()))
-                .flatMap(seat -> optionOn(planning, seat, want).stream())
+            PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        return plan.view().engines().stream()
+                .filter(plan::available)
+                .filter(engine -> plan.baseReady(engine, deployed))
+                .filter(engine -> !engine.holds(deployed.artifact()))
+                .flatMap(engine -> optionOn(plan, engine, deployed).stream())
                 .min(Comparator.comparingDouble(LoadOption::loss));
     }
 
-    /** Evicts by least loss for each MiB until the artifact fits. */
+    /** Selects evictions by least loss per MiB until the artifact fits. */
     private static Optional<LoadOption> optionOn(
-            PlacementPlan planning,
-            PlacementView.Engine seat,
-            PlacementView.DeployedArtifact want) {
-        long missing = want.memoryMib() - seat.freeMib();
+            PlacementPlan plan,
+            PlacementView.Engine engine,
+            PlacementView.DeployedArtifact deployed) {
+        long missingMib = deployed.memoryMib() - engine.freeMib();
         List<EvictionUnit> candidates =
-                seat.resident().stream()
-                        .map(held -> evictionUnit(planning, seat, held))
-                        .filter(bundle -> evictable(planning, bundle, want))
+                engine.resident().stream()
+                        .map(resident -> evictionUnit(plan, engine, resident))
+                        .filter(unit -> evictable(plan, unit, deployed))
                         .sorted(Comparator.comparingDouble(EvictionUnit::lossDensity))
                         .toList();
         Set<Artifact> evicted = new LinkedHashSet<>();
         double loss = 0;
-        for (EvictionUnit bundle : candidates) {
-            for (PlacementView.ResidentArtifact held : bundle.inOrder()) {
-                if (missing > 0 && evicted.add(held.artifact())) {
-                    missing -= held.memoryMib();
-                    loss += loss(planning, held);
+        for (EvictionUnit unit : candidates) {
+            for (PlacementView.ResidentArtifact resident : unit.inOrder()) {
+                if (missingMib > 0 && evicted.add(resident.artifact())) {
+                    missingMib -= resident.memoryMib();
+                    loss += loss(plan, resident);
                 }
             }
         }
-        return missing <= 0
-                ? Optional.of(new LoadOption(seat, List.copyOf(evicted), loss))
+        return missingMib <= 0
+                ? Optional.of(new LoadOption(engine, List.copyOf(evicted), loss))
                 : Optional.empty();
     }
 
     /**
-     * What goes together: an artifact, and before it the adapters that it carries.
+     * Artifacts that are evicted together: a model, and before it the adapters that depend on it.
      *
      * @param inOrder the order of eviction
-     * @param lossDensity the expected loss for each MiB
+     * @param lossDensity the expected loss per MiB
      */
     private record EvictionUnit(List<PlacementView.ResidentArtifact> inOrder, double lossDensity) {}
 
     private static EvictionUnit evictionUnit(
-            PlacementPlan planning,
-            PlacementView.Engine seat,
-            PlacementView.ResidentArtifact held) {
+            PlacementPlan plan,
+            PlacementView.Engine engine,
+            PlacementView.ResidentArtifact resident) {
         List<PlacementView.ResidentArtifact> inOrder =
-                new ArrayList<>(planning.adaptersOn(seat, held.artifact()));
-        inOrder.add(held);
-        double loss = inOrder.stream().mapToDouble(item -> loss(planning, item)).sum();
+                new ArrayList<>(plan.adaptersOn(engine, resident.artifact()));
+        inOrder.add(resident);
+        double loss = inOrder.stream().mapToDouble(item -> loss(plan, item)).sum();
         long memoryMib =
                 inOrder.stream().mapToLong(PlacementView.ResidentArtifact::memoryMib).sum();
         return new EvictionUnit(inOrder, loss / Math.max(1, memoryMib));
     }
 
     private static boolean evictable(
-            PlacementPlan planning, EvictionUnit bundle, PlacementView.DeployedArtifact want) {
-        PlacementView.ResidentArtifact last = bundle.inOrder().getLast();
+            PlacementPlan plan, EvictionUnit unit, PlacementView.DeployedArtifact deployed) {
+        PlacementView.ResidentArtifact last = unit.inOrder().getLast();
         boolean isBase =
-                want.base().isPresent() && want.base().get().id().equals(last.artifact().id());
+                deployed.base().isPresent()
+                        && deployed.base().get().id().equals(last.artifact().id());
         boolean settled =
-                bundle.inOrder().stream()
+                unit.inOrder().stream()
                         .allMatch(
-                                held ->
-                                        planning.view().now() - held.since()
+                                resident ->
+                                        plan.view().now() - resident.since()
                                                 >= MIN_RESIDENCE_NANOS);
         return !isBase && settled;
     }
 
-    private static double loss(PlacementPlan planning, PlacementView.ResidentArtifact held) {
+    private static double loss(PlacementPlan plan, PlacementView.ResidentArtifact resident) {
         double expected =
-                planning.deployed(held.artifact().id())
-                        .map(want -> value(want) + LOAD_COST_REQUESTS)
+                plan.deployed(resident.artifact().id())
+                        .map(deployed -> value(deployed) + LOAD_COST_REQUESTS)
                         .orElse(0.0);
-        boolean spare = planning.copies(held.artifact()) > 1;
+        boolean spare = plan.copies(resident.artifact()) > 1;
         return spare ? expected * FURTHER_COPY_LOSS_SHARE : expected;
     }
 
-    private static double valueDensity(PlacementView.DeployedArtifact want) {
-        return value(want) / Math.max(1, want.memoryMib());
+    private static double valueDensity(PlacementView.DeployedArtifact deployed) {
+        return value(deployed) / Math.max(1, deployed.memoryMib());
     }
 
-    private static double value(PlacementView.DeployedArtifact want) {
-        return want.ratePerSecond() * HORIZON_SECONDS + want.waiting();
+    private static double value(PlacementView.DeployedArtifact deployed) {
+        return deployed.ratePerSecond() * HORIZON_SECONDS + deployed.waiting();
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/LeastRecentlyUsedPolicy.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/LeastRecentlyUsedPolicy.java
@@ -5,82 +5,89 @@
 import java.util.Optional;
 
 /**
- * A baseline: loads an artifact when a request misses it, and makes room by evicting whatever was
- * used longest ago.
+ * A baseline: loads an artifact when a request finds it on no engine, and makes room by evicting
+ * the least recently used artifacts.
  */
 public final class LeastRecentlyUsedPolicy implements PlacementPolicy {
 
     @Override
     public List<PlacementAction> decide(PlacementView view) {
-        PlacementPlan planning = new PlacementPlan(view);
-        planning.dropObsolete();
+        PlacementPlan plan = new PlacementPlan(view);
+        plan.dropObsolete();
         view.deployed().stream()
-                .filter(want -> want.waiting() > 0 && planning.copies(want.artifact()) == 0)
+                .filter(deployed -> deployed.waiting() > 0 && plan.copies(deployed.artifact()) == 0)
                 .sorted(Comparator.comparingInt(PlacementView.DeployedArtifact::waiting).reversed())
-                .forEach(want -> loadOrEvict(planning, want));
-        return planning.actions();
+                .forEach(deployed -> loadOrEvict(plan, deployed));
+        return plan.actions();
     }
 
-    private static void loadOrEvict(PlacementPlan planning, PlacementView.DeployedArtifact want) {
-        if (planning.hasPendingLoad(want.artifact())) {
+    private static void loadOrEvict(PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        if (plan.hasPendingLoad(deployed.artifact())) {
             return;
         }
-        Optional<PlacementView.Engine> room = StaticPolicy.engineWithMostFreeMemory(planning, want);
-        if (room.isPresent()) {
-            if (planning.loadsLeft() > 0) {
-                planning.load(room.get(), want);
+        Optional<PlacementView.Engine> withMemory =
+                StaticPolicy.engineWithMostFreeMemory(plan, deployed);
+        if (withMemory.isPresent()) {
+            if (plan.loadsLeft() > 0) {
+                plan.load(withMemory.get(), deployed);
             }
             return;
         }
-        evict(planning, want);
+        evict(plan, deployed);
     }
 
-    private static void evict(PlacementPlan planning, PlacementView.DeployedArtifact want) {
-        planning.view().engines().stream()
-                .filter(planning::available)
-                .filter(seat -> planning.baseReady(seat, want))
-                .filter(seat -> seat.freeMib() + evictableMib(seat, want) >= want.memoryMib())
-                .min(Comparator.comparingLong(seat -> leastRecentUse(planning, seat, want)))
+    private static void evict(PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        plan.view().engines().stream()
+                .filter(plan::available)
+                .filter(engine -> plan.baseReady(engine, deployed))
+                .filter(
+                        engine ->
+                                engine.freeMib() + evictableMib(engine, deployed)
+                                        >= deployed.memoryMib())
+                .min(Comparator.comparingLong(engine -> leastRecentUse(plan, engine, deployed)))
                 .ifPresent(
-                        seat ->
-                                leastRecentlyUsed(planning, seat, want)
-                                        .ifPresent(held -> planning.unload(seat, held.artifact())));
+                        engine ->
+                                leastRecentlyUsed(plan, engine, deployed)
+                                        .ifPresent(
+                                                resident ->
+                                                        plan.unload(engine, resident.artifact())));
     }
 
     private static long evictableMib(
-            PlacementView.Engine seat, PlacementView.DeployedArtifact want) {
-        return seat.resident().stream()
-                .filter(held -> !isBase(held, want))
+            PlacementView.Engine engine, PlacementView.DeployedArtifact deployed) {
+        return engine.resident().stream()
+                .filter(resident -> !isBase(resident, deployed))
                 .mapToLong(PlacementView.ResidentArtifact::memoryMib)
                 .sum();
     }
 
     private static long leastRecentUse(
-            PlacementPlan planning,
-            PlacementView.Engine seat,
-            PlacementView.DeployedArtifact want) {
-        return leastRecentlyUsed(planning, seat, want)
-                .map(held -> lastUsed(planning, held))
+            PlacementPlan plan,
+            PlacementView.Engine engine,
+            PlacementView.DeployedArtifact deployed) {
+        return leastRecentlyUsed(plan, engine, deployed)
+                .map(resident -> lastUsed(plan, resident))
                 .orElse(Long.MAX_VALUE);
     }
 
     private static Optional<PlacementView.ResidentArtifact> leastRecentlyUsed(
-            PlacementPlan planning,
-            PlacementView.Engine seat,
-            PlacementView.DeployedArtifact want) {
-        return seat.resident().stream()
-                .filter(held -> !isBase(held, want))
-                .filter(held -> !planning.carriesAdapters(seat, held.artifact()))
-                .min(Comparator.comparingLong(held -> lastUsed(planning, held)));
+            PlacementPlan plan,
+            PlacementView.Engine engine,
+            PlacementView.DeployedArtifact deployed) {
+        return engine.resident().stream()
+                .filter(resident -> !isBase(resident, deployed))
+                .filter(resident -> !plan.carriesAdapters(engine, resident.artifact()))
+                .min(Comparator.comparingLong(resident -> lastUsed(plan, resident)));
     }
 
     private static boolean isBase(
-            PlacementView.ResidentArtifact held, PlacementView.DeployedArtifact want) {
-        return want.base().isPresent() && want.base().get().id().equals(held.artifact().id());
+            PlacementView.ResidentArtifact resident, PlacementView.DeployedArtifact deployed) {
+        return deployed.base().isPresent()
+                && deployed.base().get().id().equals(resident.artifact().id());
     }
 
-    private static long lastUsed(PlacementPlan planning, PlacementView.ResidentArtifact held) {
-        return planning.deployed(held.artifact().id())
+    private static long lastUsed(PlacementPlan plan, PlacementView.ResidentArtifact resident) {
+        return plan.deployed(resident.artifact().id())
                 .map(PlacementView.DeployedArtifact::lastUsed)
                 .orElse(Long.MIN_VALUE);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/NearestCopyPolicy.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/NearestCopyPolicy.java
@@ -11,93 +11,113 @@
 import java.util.Set;
 
 /**
- * Gives each place to the model whose next copy is worth most there, and loads a model where its
- * weights are nearest at hand.
+ * Uses memory for the model whose next copy has the highest value, and loads a model where its
+ * weights are nearest: from local weights rather than from the weight store.
  *
- * <p>A model's first copy is worth its whole demand, each further one the queueing that it
- * relieves. A model that requests wait for and that is nowhere is loaded first, wherever the load's
- * time and what it evicts cost least together. A place that is free is filled from a copy at hand,
- * whoever is worth most, so that an engine that has come back empty serves again. Where room has to
- * be made, the unload is followed by the load that it was made for; such a swap has to earn more
- * than it evicts by a margin, so that two models do not swap for ever.
+ * <p>The value of a model's first copy reflects its whole demand, that of each further copy the
+ * queueing that it relieves. A model with waiting requests that is resident nowhere is loaded where
+ * load time and evictions cost least together. Free memory is filled from local weights with the
+ * most valuable model, so that an engine that restarted empty serves again. Where memory has to be
+ * freed, the unload is followed by the load that needs it; such a replacement has to gain more than
+ * it evicts by a margin, so that two models do not evict each other endlessly.
  */
 public final class NearestCopyPolicy implements PlacementPolicy {
 
-    /** What a second of loading costs: the engine takes no other order meanwhile. */
+    /** Cost of a second of loading, during which the engine takes no other order. */
     private static final double LOAD_SECOND_COST = 0.3;
 
-    /** Filling a free place from a copy at hand costs little beside. */
+    /** Cost of a second of loading from local weights into free memory. */
     private static final double LOCAL_FILL_SECOND_COST = 0.05;
 
-    /** What a load that is not yet waited for must earn beyond what it evicts. */
+    /**
+     * Factor by which the gain of a load must exceed the value of its evictions, except for a first
+     * copy that requests wait for.
+     */
     private static final double GAIN_MARGIN = 1.5;
 
     /**
-     * What a second of loading costs for each request a second that the engine serves already: they
-     * get no further adapter meanwhile. An engine that served a busy model was once kept from
-     * adapters for 9 s by a load of another model from the store, and 20 requests were refused.
+     * Cost of a second of loading, per request per second that the engine already serves: meanwhile
+     * no adapter can be loaded for these requests. In one run a load of another model from the
+     * store kept an engine with a busy model from loading adapters for 9 s, and 20 requests were
+     * refused.
      */
     private static final double SERVED_RATE_COST = 0.2;
 
-    /** A copy that has just come stays for as long as its load may take to pay. */
+    /** A new copy stays at least this long, the time in which its load may pay off. */
     private static final Duration MIN_RESIDENCE = Duration.ofSeconds(4);
 
-    /** Even for a waiting model: requests for the copy that has come last need time to be sent. */
+    /**
+     * The minimum residence where requests wait for the model to load: requests for the copy that
+     * was loaded last still need time to be sent.
+     */
     private static final Duration MIN_RESIDENCE_WITH_REQUESTS_WAITING = Duration.ofMillis(1500);
 
-    /** A further copy serves more where it is in another zone, which may be cut off. */
+    /**
+     * Cost of a further copy in a zone that already serves the model: a copy in another zone still
+     * serves when one of the two is cut off.
+     */
     private static final double SAME_ZONE_COST = 2;
 
     /**
-     * Engines that load from the weight store take no other order for that long: at most a third of
-     * them, and beside these as many for models that are asked for often. On one calm day two loads
-     * of rare models kept the busiest one from its second copy for 9 s. Those of the same decision
-     * count too: seven that began together on thirteen engines kept a model that was asked for ever
-     * more often from any copy for 6 s (one day of load, from the log). Before the first request
-     * all of them may, so that weights have more homes when demand begins.
+     * Engines that load from the weight store take no other order meanwhile. One engine in this
+     * many may do so at a time, and twice as many for models with frequent requests: in one run
+     * without failures two loads of rarely requested models delayed the second copy of the busiest
+     * model by 9 s. Loads of the same decision count too: seven that began together on thirteen
+     * engines left a model with growing demand without any copy for 6 s. Before the first request
+     * all engines may load, so that weights are in more locations when demand begins.
      */
     private static final int ENGINES_PER_STORE_LOAD = 3;
 
+    /** From this rate on, a model may use twice as many concurrent loads from the store. */
     private static final double FREQUENT_REQUESTS_PER_SECOND = 2;
 
     private static final double MILLIS_PER_SECOND = 1000;
 
     @Override
     public List<PlacementAction> decide(PlacementView view) {
-        PlacementPlan planning = new PlacementPlan(view);
-        planning.dropObsolete();
+        PlacementPlan plan = new PlacementPlan(view);
+        plan.dropObsolete();
         List<PlacementView.DeployedArtifact> models =
-                view.deployed().stream().filter(want -> want.base().isEmpty()).toList();
+                view.deployed().stream().filter(deployed -> deployed.base().isEmpty()).toList();
         models.stream()
                 .sorted(
                         Comparator.comparingDouble(
-                                        (PlacementView.DeployedArtifact want) ->
-                                                rank(planning, want))
+                                        (PlacementView.DeployedArtifact deployed) ->
+                                                rank(plan, deployed))
                                 .reversed())
-                .forEach(want -> place(planning, want));
-        return planning.actions();
+                .forEach(deployed -> place(plan, deployed));
+        return plan.actions();
     }
 
     /**
-     * Who is worth most goes first, whether its first copy is missing or one more: while models
-     * that somebody waited for always went first, one asked for 68 times a second got its second
-     * copy 4 s after its demand had risen and its third 7 s later (one day, from the log).
+     * Returns the rank of a model: the highest value goes first, for a first copy as for further
+     * ones. When models with waiting requests always went first, a model with 68 requests per
+     * second got its second copy only 4 s after its demand had risen, and its third 7 s later.
      */
-    private static double rank(PlacementPlan planning, PlacementView.DeployedArtifact want) {
-        return CopyValue.ofNextCopy(planning, want) + want.starvedSeconds();
+    private static double rank(PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        return CopyValue.ofNextCopy(plan, deployed) + deployed.starvedSeconds();
     }
 
-    private static void place(PlacementPlan planning, PlacementView.DeployedArtifact want) {
-        if (want.waiting() > 0 && planning.copies(want.artifact()) == 0) {
-            serveWaiting(planning, want);
+    private static void place(PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        if (deployed.waiting() > 0 && plan.copies(deployed.artifact()) == 0) {
+            serveWaiting(plan, deployed);
         } else {
-            addCopy(planning, want);
+            addCopy(plan, deployed);
         }
     }
 
-    /** A place that can be made on one seat, and what it costs. */
+    /**
+     * A possible load on one engine, and what it costs.
+     *
+     * @param evicted the artifacts to evict first
+     * @param loss the value that these evictions lose
+     * @param servedRate requests per second that the engine already serves
+     * @param displacementCost cost of the local weights that the load displaces
+     * @param blockedModels models that cannot be served while the engine loads
+     * @param servedInZone whether the engine's zone already serves the model
+     */
     private record LoadOption(
-            PlacementView.Engine seat,
+            PlacementView.Engine engine,
             List<Artifact> evicted,
             double loss,
             double loadSeconds,
@@ -107,190 +127,195 @@
             boolean fromStore,
             boolean servedInZone) {
         double cost() {
-            double together = servedInZone ? SAME_ZONE_COST : 0;
-            double second = LOAD_SECOND_COST * (1 + blockedModels) + SERVED_RATE_COST * servedRate;
-            return loss + displacementCost + together + second * loadSeconds;
+            double sameZone = servedInZone ? SAME_ZONE_COST : 0;
+            double perSecond =
+                    LOAD_SECOND_COST * (1 + blockedModels) + SERVED_RATE_COST * servedRate;
+            return loss + displacementCost + sameZone + perSecond * loadSeconds;
         }
     }
 
-    private static void serveWaiting(PlacementPlan planning, PlacementView.DeployedArtifact want) {
-        if (planning.hasPendingLoad(want.artifact())) {
+    private static void serveWaiting(PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        if (plan.hasPendingLoad(deployed.artifact())) {
             return;
         }
-        double worth = CopyValue.ofCopy(planning, want, 1) + want.starvedSeconds();
-        cheapestOption(planning, want, MIN_RESIDENCE_WITH_REQUESTS_WAITING)
-                .filter(place -> place.loss() <= worth)
-                .ifPresent(place -> plan(planning, want, place));
+        double value = CopyValue.ofCopy(plan, deployed, 1) + deployed.starvedSeconds();
+        cheapestOption(plan, deployed, MIN_RESIDENCE_WITH_REQUESTS_WAITING)
+                .filter(option -> option.loss() <= value)
+                .ifPresent(option -> plan(plan, deployed, option));
     }
 
-    private static void addCopy(PlacementPlan planning, PlacementView.DeployedArtifact want) {
-        double ofCopy = CopyValue.ofNextCopy(planning, want);
-        double ofHome = CopyValue.ofWeightLocation(planning, want);
-        if (ofCopy + Math.max(0, ofHome) <= 0) {
+    private static void addCopy(PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        double ofCopy = CopyValue.ofNextCopy(plan, deployed);
+        double ofLocation = CopyValue.ofWeightLocation(plan, deployed);
+        if (ofCopy + Math.max(0, ofLocation) <= 0) {
             return;
         }
-        boolean waited = want.waiting() > 0;
+        boolean requestsWait = deployed.waiting() > 0;
         Optional<LoadOption> best =
                 cheapestOption(
-                        planning,
-                        want,
-                        waited ? MIN_RESIDENCE_WITH_REQUESTS_WAITING : MIN_RESIDENCE);
+                        plan,
+                        deployed,
+                        requestsWait ? MIN_RESIDENCE_WITH_REQUESTS_WAITING : MIN_RESIDENCE);
         if (best.isEmpty()) {
             return;
         }
-        LoadOption place = best.get();
-        boolean newHome = place.fromStore() && !planning.hasPendingLoad(want.artifact());
-        double gain = ofCopy + (newHome ? ofHome : 0);
-        if (gain > requiredGain(place)) {
-            plan(planning, want, place);
+        LoadOption option = best.get();
+        boolean newLocation = option.fromStore() && !plan.hasPendingLoad(deployed.artifact());
+        double gain = ofCopy + (newLocation ? ofLocation : 0);
+        if (gain > requiredGain(option)) {
+            plan(plan, deployed, option);
         }
     }
 
-    private static double requiredGain(LoadOption place) {
-        if (place.fromStore()) {
-            return GAIN_MARGIN * place.loss()
-                    + place.displacementCost()
+    private static double requiredGain(LoadOption option) {
+        if (option.fromStore()) {
+            return GAIN_MARGIN * option.loss()
+                    + option.displacementCost()
                     + (1
-                                    + SERVED_RATE_COST * place.servedRate()
-                                    + LOAD_SECOND_COST * place.blockedModels())
-                            * place.loadSeconds();
+                                    + SERVED_RATE_COST * option.servedRate()
+                                    + LOAD_SECOND_COST * option.blockedModels())
+                            * option.loadSeconds();
         }
-        if (place.evicted().isEmpty()) {
-            return LOCAL_FILL_SECOND_COST * place.loadSeconds();
+        if (option.evicted().isEmpty()) {
+            return LOCAL_FILL_SECOND_COST * option.loadSeconds();
         }
-        return GAIN_MARGIN * place.loss() + LOAD_SECOND_COST * place.loadSeconds();
+        return GAIN_MARGIN * option.loss() + LOAD_SECOND_COST * option.loadSeconds();
     }
 
     private static void plan(
-            PlacementPlan planning, PlacementView.DeployedArtifact want, LoadOption place) {
-        if (place.evicted().isEmpty()) {
-            planning.load(place.seat(), want);
+            PlacementPlan plan, PlacementView.DeployedArtifact deployed, LoadOption option) {
+        if (option.evicted().isEmpty()) {
+            plan.load(option.engine(), deployed);
         } else {
-            planning.replace(place.seat(), place.evicted().getFirst(), want);
+            plan.replace(option.engine(), option.evicted().getFirst(), deployed);
         }
     }
 
     private static Optional<LoadOption> cheapestOption(
-            PlacementPlan planning, PlacementView.DeployedArtifact want, Duration residence) {
+            PlacementPlan plan, PlacementView.DeployedArtifact deployed, Duration residence) {
         Optional<LoadOption> best = Optional.empty();
         boolean fromStore =
-                mayLoadFromStore(planning, want) && !localEngineIsFreeSoon(planning, want);
-        for (PlacementView.Engine seat : planning.view().engines()) {
-            if (!planning.available(seat) || seat.holds(want.artifact().id())) {
+                mayLoadFromStore(plan, deployed) && !localEngineIsFreeSoon(plan, deployed);
+        for (PlacementView.Engine engine : plan.view().engines()) {
+            if (!plan.available(engine) || engine.holds(deployed.artifact().id())) {
                 continue;
             }
-            Optional<LoadOption> place = optionOn(planning, seat, want, residence);
-            if (place.isEmpty() || (place.get().fromStore() && !fromStore)) {
+            Optional<LoadOption> option = optionOn(plan, engine, deployed, residence);
+            if (option.isEmpty() || (option.get().fromStore() && !fromStore)) {
                 continue;
             }
-            if (best.isEmpty() || place.get().cost() < best.get().cost()) {
-                best = place;
+            if (best.isEmpty() || option.get().cost() < best.get().cost()) {
+                best = option;
             }
         }
         return best;
     }
 
     /**
-     * A seat that loads from a copy at hand, or unloads, is free again within 2.3 s or less; a
-     * first copy waits for it, a further one is needed beside it.
+     * Returns whether an engine with local weights is about to become free. An engine that loads
+     * from local weights, or unloads, is free again within 2.3 s. A first copy waits for that; a
+     * further one does not, as it is needed on another engine.
      */
     private static boolean localEngineIsFreeSoon(
-            PlacementPlan planning, PlacementView.DeployedArtifact want) {
-        if (planning.copies(want.artifact()) > 0) {
+            PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        if (plan.copies(deployed.artifact()) > 0) {
             return false;
         }
-        ModelId model = want.artifact().id();
-        return planning.view().engines().stream()
-                .filter(seat -> seat.localLoadTimes().containsKey(model) && !seat.holds(model))
-                .anyMatch(seat -> !planning.available(seat) && !PlacementPlan.loadsFromStore(seat));
+        ModelId model = deployed.artifact().id();
+        return plan.view().engines().stream()
+                .filter(
+                        engine ->
+                                engine.localLoadTimes().containsKey(model) && !engine.holds(model))
+                .anyMatch(
+                        engine -> !plan.available(engine) && !PlacementPlan.loadsFromStore(engine));
     }
 
     private static boolean mayLoadFromStore(
-            PlacementPlan planning, PlacementView.DeployedArtifact want) {
-        if (planning.loadsLeft() <= 0) {
+            PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        if (plan.loadsLeft() <= 0) {
             return false;
         }
-        if (planning.noneRequestedYet()) {
+        if (plan.noneRequestedYet()) {
             return true;
         }
-        int most = Math.max(1, planning.view().engines().size() / ENGINES_PER_STORE_LOAD);
-        most *= want.ratePerSecond() >= FREQUENT_REQUESTS_PER_SECOND ? 2 : 1;
-        return planning.storeLoads() < most;
+        int maxLoads = Math.max(1, plan.view().engines().size() / ENGINES_PER_STORE_LOAD);
+        maxLoads *= deployed.ratePerSecond() >= FREQUENT_REQUESTS_PER_SECOND ? 2 : 1;
+        return plan.storeLoads() < maxLoads;
     }
 
     private static Optional<LoadOption> optionOn(
-            PlacementPlan planning,
-            PlacementView.Engine seat,
-            PlacementView.DeployedArtifact want,
+            PlacementPlan plan,
+            PlacementView.Engine engine,
+            PlacementView.DeployedArtifact deployed,
             Duration residence) {
-        EngineCosts costs = planning.costs(seat);
-        long missing = want.memoryMib() - seat.freeMib();
+        EngineCosts costs = plan.costs(engine);
+        long missingMib = deployed.memoryMib() - engine.freeMib();
         List<Artifact> evicted = new ArrayList<>();
         double loss = 0;
         for (EngineCosts.EvictionCandidate candidate : costs.evictionCandidates()) {
-            if (missing <= 0) {
+            if (missingMib <= 0) {
                 break;
             }
-            if (evictable(planning, candidate.resident(), residence)) {
+            if (evictable(plan, candidate.resident(), residence)) {
                 evicted.add(candidate.resident().artifact());
-                missing -= candidate.resident().memoryMib();
+                missingMib -= candidate.resident().memoryMib();
                 loss += candidate.value();
             }
         }
-        if (missing > 0) {
+        if (missingMib > 0) {
             return Optional.empty();
         }
-        ModelId model = want.artifact().id();
-        boolean fromStore = !seat.localLoadTimes().containsKey(model);
-        double load = loadSeconds(seat, want);
-        double displaced = fromStore ? costs.displacementCost() : 0;
-        long blocked = fromStore ? blockedModels(planning, seat, evicted) : 0;
-        boolean zoneHasIt =
-                seat.zone()
-                        .filter(zone -> planning.weightLocations().servedIn(zone, model))
+        ModelId model = deployed.artifact().id();
+        boolean fromStore = !engine.localLoadTimes().containsKey(model);
+        double loadSeconds = loadSeconds(engine, deployed);
+        double displacementCost = fromStore ? costs.displacementCost() : 0;
+        long blockedModels = fromStore ? blockedModels(plan, engine, evicted) : 0;
+        boolean servedInZone =
+                engine.zone()
+                        .filter(zone -> plan.weightLocations().servedIn(zone, model))
                         .isPresent();
         return Optional.of(
                 new LoadOption(
-                        seat,
+                        engine,
                         List.copyOf(evicted),
                         loss,
-                        load,
+                        loadSeconds,
                         costs.servedRate(),
-                        displaced,
-                        blocked,
+                        displacementCost,
+                        blockedModels,
                         fromStore,
-                        zoneHasIt));
+                        servedInZone));
     }
 
     /**
-     * Returns how many models cannot be had while a seat loads from the store: it alone has their
-     * weights at hand, or holds them until they make room, and no other one serves them. A model
-     * that had made room so was asked for 3 s later, and was had again only after 6 s, when the
-     * load of another one on the only engine with its weights had ended (one calm day, from the
-     * log).
+     * Returns how many models cannot be served while an engine loads from the store: it alone
+     * stores their weights, or serves them until they are evicted for this load, and no other
+     * engine serves them. In one run without failures, a model evicted like this was requested 3 s
+     * later and available again only after 6 s, when the load of another model on the only engine
+     * with its weights had ended.
      */
     private static long blockedModels(
-            PlacementPlan planning, PlacementView.Engine seat, List<Artifact> evicted) {
-        Set<ModelId> here = new HashSet<>(seat.localLoadTimes().keySet());
+            PlacementPlan plan, PlacementView.Engine engine, List<Artifact> evicted) {
+        Set<ModelId> here = new HashSet<>(engine.localLoadTimes().keySet());
         evicted.forEach(artifact -> here.add(artifact.id()));
-        seat.resident().stream()
+        engine.resident().stream()
                 .map(PlacementView.ResidentArtifact::artifact)
                 .filter(artifact -> !evicted.contains(artifact))
                 .forEach(artifact -> here.remove(artifact.id()));
         return here.stream()
-                .filter(model -> !planning.weightLocations().availableWithout(seat, model))
+                .filter(model -> !plan.weightLocations().availableWithout(engine, model))
                 .count();
     }
 
     private static boolean evictable(
-            PlacementPlan planning, PlacementView.ResidentArtifact held, Duration residence) {
-        return planning.view().now() - held.since() >= residence.toNanos();
+            PlacementPlan plan, PlacementView.ResidentArtifact resident, Duration residence) {
+        return plan.view().now() - resident.since() >= residence.toNanos();
     }
 
     private static double loadSeconds(
-            PlacementView.Engine seat, PlacementView.DeployedArtifact want) {
-        Duration near = seat.localLoadTimes().get(want.artifact().id());
-        Duration load = near == null ? want.storeLoadTime() : near;
+            PlacementView.Engine engine, PlacementView.DeployedArtifact deployed) {
+        Duration local = engine.localLoadTimes().get(deployed.artifact().id());
+        Duration load = local == null ? deployed.storeLoadTime() : local;
         return load.toMillis() / MILLIS_PER_SECOND;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/PlacementPlan.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/PlacementPlan.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The moves of one decision as they are gathered, and what the policies share in judging them. */
+/** Collects the actions of one decision and answers the queries that the policies share. */
 final class PlacementPlan {
 
     private final PlacementView view;
@@ -31,32 +31,33 @@
         this.view = view;
         this.weightLocations = new WeightLocations(view.engines());
         this.storeLoads = view.engines().stream().filter(PlacementPlan::loadsFromStore).count();
-        this.noneWaiting = view.deployed().stream().allMatch(want -> want.waiting() == 0);
+        this.noneWaiting = view.deployed().stream().allMatch(one -> one.waiting() == 0);
         this.loadsLeft = view.loadsAllowed();
-        this.noneRequestedYet = view.deployed().stream().allMatch(want -> want.lastUsed() == 0);
-        view.deployed().forEach(want -> deployed.put(want.artifact().id(), want));
-        for (PlacementView.Engine seat : view.engines()) {
-            seat.resident().forEach(held -> copies.merge(held.artifact(), 1, Integer::sum));
-            seat.loading().ifPresent(this::addPendingLoad);
+        this.noneRequestedYet = view.deployed().stream().allMatch(one -> one.lastUsed() == 0);
+        view.deployed().forEach(one -> deployed.put(one.artifact().id(), one));
+        for (PlacementView.Engine engine : view.engines()) {
+            engine.resident()
+                    .forEach(resident -> copies.merge(resident.artifact(), 1, Integer::sum));
+            engine.loading().ifPresent(this::addPendingLoad);
         }
     }
 
-    /** Returns whether the floors of everything deployed fit into the zone's memory together. */
+    /** Returns whether the minimum copies of all deployed artifacts fit into the zone's memory. */
     boolean everythingFits() {
-        long wantedMib =
-                view.deployed().stream().mapToLong(want -> want.floor() * want.memoryMib()).sum();
+        long requiredMib =
+                view.deployed().stream().mapToLong(one -> one.floor() * one.memoryMib()).sum();
         long capacityMib = 0;
-        for (PlacementView.Engine seat : view.engines()) {
-            capacityMib += seat.freeMib();
+        for (PlacementView.Engine engine : view.engines()) {
+            capacityMib += engine.freeMib();
             capacityMib +=
-                    seat.resident().stream()
+                    engine.resident().stream()
                             .mapToLong(PlacementView.ResidentArtifact::memoryMib)
                             .sum();
         }
-        return wantedMib <= capacityMib;
+        return requiredMib <= capacityMib;
     }
 
-    /** Returns how many upstreams hold this very artifact. */
+    /** Returns how many engines hold this version of an artifact. */
     int copies(Artifact artifact) {
         return copies.getOrDefault(artifact, 0);
     }
@@ -69,21 +70,21 @@
         return List.copyOf(actions);
     }
 
-    /** Returns whether nothing has been asked for yet. */
+    /** Returns whether no deployed artifact has been requested yet. */
     boolean noneRequestedYet() {
         return noneRequestedYet;
     }
 
-    /** Returns what it costs to use a seat, which no move of this decision changes. */
-    EngineCosts costs(PlacementView.Engine seat) {
-        return costs.computeIfAbsent(seat.upstream(), id -> EngineCosts.of(this, seat));
+    /** Returns the costs of an engine, which the actions of this decision do not change. */
+    EngineCosts costs(PlacementView.Engine engine) {
+        return costs.computeIfAbsent(engine.upstream(), id -> EngineCosts.of(this, engine));
     }
 
     WeightLocations weightLocations() {
         return weightLocations;
     }
 
-    /** Returns whether nobody waits for anything. */
+    /** Returns whether no request waits for an artifact. */
     boolean noneWaiting() {
         return noneWaiting;
     }
@@ -93,27 +94,27 @@
         return loadsLeft;
     }
 
-    /** Returns how many loads from the weight store are under way or planned. */
+    /** Returns how many loads from the weight store are in progress or planned. */
     long storeLoads() {
         return storeLoads;
     }
 
-    /** Returns whether a seat is loading an artifact whose weights it has not at hand. */
-    static boolean loadsFromStore(PlacementView.Engine seat) {
-        return seat.loading().filter(loading -> !hasLocalWeights(seat, loading)).isPresent();
+    /** Returns whether an engine is loading an artifact whose weights it does not store locally. */
+    static boolean loadsFromStore(PlacementView.Engine engine) {
+        return engine.loading().filter(loading -> !hasLocalWeights(engine, loading)).isPresent();
     }
 
-    private static boolean hasLocalWeights(PlacementView.Engine seat, Artifact artifact) {
-        return seat.localLoadTimes().containsKey(artifact.id());
+    private static boolean hasLocalWeights(PlacementView.Engine engine, Artifact artifact) {
+        return engine.localLoadTimes().containsKey(artifact.id());
     }
 
     Optional<PlacementView.DeployedArtifact> deployed(ModelId model) {
         return Optional.ofNullable(deployed.get(model));
     }
 
-    /** Returns whether this decision may still order something of an upstream. */
-    boolean available(PlacementView.Engine seat) {
-        return !seat.busy() && !assigned.contains(seat.upstream());
+    /** Returns whether this decision may still assign an action to an engine. */
+    boolean available(PlacementView.Engine engine) {
+        return !engine.busy() && !assigned.contains(engine.upstream());
     }
 
     /** Returns whether an order that loads the artifact is open or planned. */
@@ -126,70 +127,74 @@
         return pendingLoads.getOrDefault(artifact, 0);
     }
 
-    private void assign(PlacementView.Engine seat) {
-        assigned.add(seat.upstream());
-        weightLocations.assigned(seat);
+    private void assign(PlacementView.Engine engine) {
+        assigned.add(engine.upstream());
+        weightLocations.assigned(engine);
     }
 
-    void load(PlacementView.Engine seat, PlacementView.DeployedArtifact want) {
-        assign(seat);
-        if (!hasLocalWeights(seat, want.artifact())) {
+    /** Plans a load. */
+    void load(PlacementView.Engine engine, PlacementView.DeployedArtifact target) {
+        assign(engine);
+        if (!hasLocalWeights(engine, target.artifact())) {
             loadsLeft--;
             storeLoads++;
         }
-        addPendingLoad(want.artifact());
-        actions.add(new PlacementAction.Load(seat.upstream(), want.artifact(), want.waiting() > 0));
+        addPendingLoad(target.artifact());
+        actions.add(
+                new PlacementAction.Load(
+                        engine.upstream(), target.artifact(), target.waiting() > 0));
     }
 
-    void unload(PlacementView.Engine seat, Artifact artifact) {
-        assign(seat);
-        actions.add(new PlacementAction.Unload(seat.upstream(), artifact));
+    void unload(PlacementView.Engine engine, Artifact artifact) {
+        assign(engine);
+        actions.add(new PlacementAction.Unload(engine.upstream(), artifact));
     }
 
     /** Plans an unload and the load that it makes room for. */
-    void replace(PlacementView.Engine seat, Artifact old, PlacementView.DeployedArtifact want) {
-        unload(seat, old);
-        load(seat, want);
+    void replace(PlacementView.Engine engine, Artifact old, PlacementView.DeployedArtifact target) {
+        unload(engine, old);
+        load(engine, target);
     }
 
-    /** Returns whether an adapter's base is there, or none is needed. */
-    boolean baseReady(PlacementView.Engine seat, PlacementView.DeployedArtifact want) {
-        return want.base().isEmpty() || seat.holds(want.base().get().id());
+    /** Returns whether the engine holds the base model that an adapter needs, if it needs one. */
+    boolean baseReady(PlacementView.Engine engine, PlacementView.DeployedArtifact target) {
+        return target.base().isEmpty() || engine.holds(target.base().get().id());
     }
 
-    /** Returns whether a resident artifact carries adapters that are resident beside it. */
-    boolean carriesAdapters(PlacementView.Engine seat, Artifact artifact) {
-        return !adaptersOn(seat, artifact).isEmpty();
+    /** Returns whether resident adapters on an engine depend on a resident model. */
+    boolean carriesAdapters(PlacementView.Engine engine, Artifact artifact) {
+        return !adaptersOn(engine, artifact).isEmpty();
     }
 
-    /** Returns the adapters on a seat that need an artifact beside them. */
-    List<PlacementView.ResidentArtifact> adaptersOn(PlacementView.Engine seat, Artifact artifact) {
-        return seat.resident().stream()
-                .filter(held -> needs(deployed.get(held.artifact().id()), artifact))
+    /** Returns the resident adapters on an engine that depend on a base model. */
+    List<PlacementView.ResidentArtifact> adaptersOn(
+            PlacementView.Engine engine, Artifact artifact) {
+        return engine.resident().stream()
+                .filter(resident -> needs(deployed.get(resident.artifact().id()), artifact))
                 .toList();
     }
 
     /** Returns whether a resident artifact is an old version, or no longer deployed. */
     boolean obsolete(Artifact artifact) {
-        PlacementView.DeployedArtifact want = deployed.get(artifact.id());
-        return want == null || !want.artifact().equals(artifact);
+        PlacementView.DeployedArtifact current = deployed.get(artifact.id());
+        return current == null || !current.artifact().equals(artifact);
     }
 
     /**
-     * Plans the unloading of what is not deployed any more, and of old versions whose successor
-     * serves somewhere.
+     * Plans to unload artifacts that are no longer deployed, and old versions once the new one is
+     * resident somewhere. One unload per engine and decision; a base model only after its adapters.
      */
     void dropObsolete() {
-        for (PlacementView.Engine seat : view.engines()) {
-            if (!available(seat)) {
+        for (PlacementView.Engine engine : view.engines()) {
+            if (!available(engine)) {
                 continue;
             }
-            seat.resident().stream()
+            engine.resident().stream()
                     .map(PlacementView.ResidentArtifact::artifact)
                     .filter(this::superseded)
-                    .filter(artifact -> !carriesAdapters(seat, artifact))
+                    .filter(artifact -> !carriesAdapters(engine, artifact))
                     .findFirst()
-                    .ifPresent(artifact -> unload(seat, artifact));
+                    .ifPresent(artifact -> unload(engine, artifact));
         }
     }
 
@@ -201,13 +206,13 @@
         if (!obsolete(artifact)) {
             return false;
         }
-        PlacementView.DeployedArtifact want = deployed.get(artifact.id());
-        return want == null || copies(want.artifact()) > 0;
+        PlacementView.DeployedArtifact current = deployed.get(artifact.id());
+        return current == null || copies(current.artifact()) > 0;
     }
 
-    private static boolean needs(PlacementView.DeployedArtifact want, Artifact artifact) {
-        return want != null
-                && want.base().isPresent()
-                && want.base().get().id().equals(artifact.id());
+    private static boolean needs(PlacementView.DeployedArtifact adapter, Artifact artifact) {
+        return adapter != null
+                && adapter.base().isPresent()
+                && adapter.base().get().id().equals(artifact.id());
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/PlacementPolicy.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/PlacementPolicy.java
@@ -6,9 +6,9 @@
 /**
  * Decides which artifacts to load and evict.
  *
- * <p>A policy is free to be wrong about value but cannot harm: whoever carries its moves out checks
- * memory and the weight store's limits for each. It keeps no state of its own beside the view, so
- * that it can be changed between two decisions.
+ * <p>A wrong estimate cannot cause harm: the component that carries out an action checks memory and
+ * the weight store's limits first. Policies are stateless, so that the policy can be switched
+ * between two decisions.
  *
  * @see ExpectedGainPolicy
  * @see NearestCopyPolicy
@@ -19,12 +19,12 @@
         permits ExpectedGainPolicy, NearestCopyPolicy, LeastRecentlyUsedPolicy, StaticPolicy {
 
     /**
-     * Returns the next moves, most urgent first; at most one for each upstream, but for an unload
-     * and right behind it the load that it makes room for.
+     * Returns the next actions, most urgent first. There is at most one per upstream, except that
+     * an unload may be followed directly by the load that it makes room for.
      */
     List<PlacementAction> decide(PlacementView view);
 
-    /** Returns the policy of a name. */
+    /** Returns the policy with a configured name. */
     static PlacementPolicy of(PolicyName name) {
         return switch (name) {
             case EXPECTED_GAIN -> new ExpectedGainPolicy();
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/PlacementView.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/PlacementView.java
@@ -10,12 +10,12 @@
 import java.util.Optional;
 
 /**
- * What a policy decides from.
+ * The input of a placement decision: the engines of a zone and the deployed artifacts.
  *
- * @param seats the upstreams that may be given orders, in a fixed order
- * @param wants the deployed models and adapters
+ * @param engines the upstreams that accept orders, in a stable order
+ * @param deployed the deployed models and adapters
  * @param loadsAllowed how many loads the weight store's limits allow now
- * @param saturatingRate requests a second that keep one upstream busy
+ * @param saturatingRate requests per second that saturate one upstream
  * @param now the monotonic clock, in nanoseconds
  */
 public record PlacementView(
@@ -26,15 +26,15 @@
         long now) {
 
     /**
-     * Stands for a capacity that is not known, in requests a second: prompts of 1,800 tokens are
-     * read so at 19 tokens a millisecond.
+     * Requests per second that saturate an upstream of unknown capacity: an upstream that reads 19
+     * prompt tokens per millisecond handles prompts of 1,800 tokens at about this rate.
      */
     public static final double DEFAULT_SATURATING_RATE = 8;
 
     /** Creates a view of upstreams whose capacity is not known. */
     public PlacementView(
-            List<Engine> seats, List<DeployedArtifact> wants, int loadsAllowed, long now) {
-        this(seats, wants, loadsAllowed, DEFAULT_SATURATING_RATE, now);
+            List<Engine> engines, List<DeployedArtifact> deployed, int loadsAllowed, long now) {
+        this(engines, deployed, loadsAllowed, DEFAULT_SATURATING_RATE, now);
     }
 
     /** Copies the lists. */
@@ -44,16 +44,16 @@
     }
 
     /**
-     * One upstream.
+     * One upstream, as a place for artifacts.
      *
-     * @param upstream its name
-     * @param freeMib memory that a load may take, in MiB
-     * @param slots requests that it runs at once
-     * @param held what is resident, in a fixed order
+     * @param upstream its id
+     * @param freeMib memory available for loads, in MiB
+     * @param slots requests that it runs concurrently
+     * @param resident the resident artifacts, in a stable order
      * @param busy whether an order to it is still open
-     * @param loading what that order loads, if it is a load
-     * @param nearCopies how long a load takes of each model whose weights it keeps at hand
-     * @param zone its availability zone, where that matters
+     * @param loading the artifact that the open order loads, if it is a load
+     * @param localLoadTimes load time of each model whose weights it stores locally
+     * @param zone its availability zone, if the policy should spread copies over zones
      */
     public record Engine(
             UpstreamId upstream,
@@ -70,15 +70,15 @@
             localLoadTimes = Map.copyOf(localLoadTimes);
         }
 
-        /** Creates a seat of an upstream that keeps no copies at hand. */
+        /** Creates an engine without local weights. */
         public Engine(
                 UpstreamId upstream,
                 long freeMib,
                 int slots,
-                List<ResidentArtifact> held,
+                List<ResidentArtifact> resident,
                 boolean busy,
                 Optional<Artifact> loading) {
-            this(upstream, freeMib, slots, held, busy, loading, Map.of(), Optional.empty());
+            this(upstream, freeMib, slots, resident, busy, loading, Map.of(), Optional.empty());
         }
 
         /** Returns whether any version of a model is resident. */
@@ -86,7 +86,7 @@
             return resident.stream().anyMatch(item -> item.artifact().id().equals(model));
         }
 
-        /** Returns whether this very artifact is resident. */
+        /** Returns whether this version of an artifact is resident. */
         public boolean holds(Artifact artifact) {
             return resident.stream().anyMatch(item -> item.artifact().equals(artifact));
         }
@@ -95,9 +95,9 @@
     /**
      * One resident artifact.
      *
-     * @param artifact what is resident
+     * @param artifact the artifact
      * @param memoryMib what it takes, in MiB
-     * @param since when it was first seen, on the monotonic clock in nanoseconds
+     * @param since when it was first reported as resident, on the monotonic clock in nanoseconds
      */
     public record ResidentArtifact(Artifact artifact, long memoryMib, long since) {}
 
@@ -106,14 +106,14 @@
      *
      * @param artifact the version that should serve
      * @param memoryMib what it takes, in MiB
-     * @param base the model that an adapter needs beside it
-     * @param floor copies to keep where memory allows
-     * @param ratePerSecond requests a second
-     * @param waiting requests that wait for it
-     * @param starvedSeconds how long it has been asked for without being resident anywhere
-     * @param lastUsed when it was last asked for, on the monotonic clock in nanoseconds, or 0 if
+     * @param base the model that an adapter needs resident on the same engine
+     * @param floor minimum number of copies, where memory allows
+     * @param ratePerSecond requests per second
+     * @param waiting number of requests waiting for it
+     * @param starvedSeconds how long it has been requested without being resident anywhere
+     * @param lastUsed when it was last requested, on the monotonic clock in nanoseconds, or 0 if
      *     never
-     * @param loadFromStore how long a load takes where no copy of its weights is at hand
+     * @param storeLoadTime load time on an engine without local weights
      */
     public record DeployedArtifact(
             Artifact artifact,
@@ -126,10 +126,10 @@
             long lastUsed,
             Duration storeLoadTime) {
 
-        /** Stands for a load time that nobody has told. */
+        /** Used where the load time is not known. */
         private static final Duration DEFAULT_STORE_LOAD_TIME = Duration.ofSeconds(9);
 
-        /** Creates a want whose load time is not known. */
+        /** Creates a deployed artifact whose load time is not known. */
         public DeployedArtifact(
                 Artifact artifact,
                 long memoryMib,
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/StaticPolicy.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/StaticPolicy.java
@@ -4,30 +4,33 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A baseline: gives every artifact one copy where it fits, in the order deployed, for good. */
+/**
+ * A baseline: loads one copy of every artifact where it fits, in deployment order, and never evicts
+ * a deployed one.
+ */
 public final class StaticPolicy implements PlacementPolicy {
 
     @Override
     public List<PlacementAction> decide(PlacementView view) {
-        PlacementPlan planning = new PlacementPlan(view);
-        planning.dropObsolete();
-        for (PlacementView.DeployedArtifact want : view.deployed()) {
-            boolean missing = planning.copies(want.artifact()) == 0;
-            if (planning.loadsLeft() > 0 && missing && !planning.hasPendingLoad(want.artifact())) {
-                engineWithMostFreeMemory(planning, want)
-                        .ifPresent(seat -> planning.load(seat, want));
+        PlacementPlan plan = new PlacementPlan(view);
+        plan.dropObsolete();
+        for (PlacementView.DeployedArtifact deployed : view.deployed()) {
+            boolean missing = plan.copies(deployed.artifact()) == 0;
+            if (plan.loadsLeft() > 0 && missing && !plan.hasPendingLoad(deployed.artifact())) {
+                engineWithMostFreeMemory(plan, deployed)
+                        .ifPresent(engine -> plan.load(engine, deployed));
             }
         }
-        return planning.actions();
+        return plan.actions();
     }
 
     static Optional<PlacementView.Engine> engineWithMostFreeMemory(
-            PlacementPlan planning, PlacementView.DeployedArtifact want) {
-        return planning.view().engines().stream()
-                .filter(planning::available)
-                .filter(seat -> planning.baseReady(seat, want))
-                .filter(seat -> !seat.holds(want.artifact()))
-                .filter(seat -> seat.freeMib() >= want.memoryMib())
+            PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        return plan.view().engines().stream()
+                .filter(plan::available)
+                .filter(engine -> plan.baseReady(engine, deployed))
+                .filter(engine -> !engine.holds(deployed.artifact()))
+                .filter(engine -> engine.freeMib() >= deployed.memoryMib())
                 .max(Comparator.comparingLong(PlacementView.Engine::freeMib));
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/policy/NearestCopyPolicyTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/policy/NearestCopyPolicyTest.java
@@ -14,41 +14,45 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Where models are loaded when engines keep copies of their weights. */
+/** Tests where models are loaded when engines store some weights locally. */
 class NearestCopyPolicyTest {
 
     private static final long NOW = Duration.ofSeconds(1000).toNanos();
-    private static final Duration NEAR = Duration.ofSeconds(2);
+    private static final Duration LOCAL_LOAD_TIME = Duration.ofSeconds(2);
 
     private final NearestCopyPolicy policy = new NearestCopyPolicy();
 
     @Test
     void waitingModelIsLoadedWhereItsWeightsAreAtHand() {
-        List<PlacementAction> moves =
-                policy.decide(view(List.of(want("w", 1, 3)), seat("far"), seat("near", "w")));
-        assertThat(moves).singleElement().isEqualTo(load("near", "w"));
+        List<PlacementAction> actions =
+                policy.decide(
+                        view(List.of(deployed("w", 1, 3)), engine("far"), engine("near", "w")));
+        assertThat(actions).singleElement().isEqualTo(load("near", "w"));
     }
 
     @Test
     void storeIsNotAskedWhileTheEngineThatHasACopyIsFreeSoon() {
         PlacementView.Engine busy = busy("near", Optional.empty(), "w");
-        assertThat(policy.decide(view(List.of(want("w", 1, 3)), seat("far"), busy))).isEmpty();
+        assertThat(policy.decide(view(List.of(deployed("w", 1, 3)), engine("far"), busy)))
+                .isEmpty();
     }
 
     @Test
     void storeIsAskedWhileTheEngineThatHasACopyLoadsFromItItself() {
         PlacementView.Engine busy = busy("near", Optional.of("other"), "w");
-        List<PlacementAction> moves =
+        List<PlacementAction> actions =
                 policy.decide(
                         view(
-                                List.of(want("w", 1, 3), want("other", 0, 0)),
-                                seat("far"),
-                                seat("far2"),
-                                seat("far3"),
-                                seat("far4"),
-                                seat("far5"),
+                                List.of(deployed("w", 1, 3), deployed("other", 0, 0)),
+                                engine("far"),
+                                engine("far2"),
+                                engine("far3"),
+                                engine("far4"),
+                                engine("far5"),
                                 busy));
-        assertThat(moves).hasSize(1).allMatch(move -> move.artifact().id().value().equals("w"));
+        assertThat(actions)
+                .hasSize(1)
+                .allMatch(action -> action.artifact().id().value().equals("w"));
     }
 
     @Test
@@ -56,55 +60,68 @@
         PlacementView.Engine full =
                 holding("full", List.of("only", "shared"), "only", "shared", "w");
         PlacementView.Engine other = holding("other", List.of("shared", "x"), "shared", "x");
-        List<PlacementView.DeployedArtifact> wants =
-                List.of(want("w", 1, 3), want("only", 0, 0), want("shared", 0, 0), want("x", 0, 0));
-        assertThat(policy.decide(view(wants, full, other)))
+        List<PlacementView.DeployedArtifact> deployed =
+                List.of(
+                        deployed("w", 1, 3),
+                        deployed("only", 0, 0),
+                        deployed("shared", 0, 0),
+                        deployed("x", 0, 0));
+        assertThat(policy.decide(view(deployed, full, other)))
                 .contains(new PlacementAction.Unload(new UpstreamId("full"), artifact("shared")));
     }
 
     @Test
     void modelThatNoEngineKeepsAtHandIsLoadedBeforeItIsAskedFor() {
-        List<PlacementAction> moves = policy.decide(view(List.of(want("w", 0, 0)), seat("a")));
-        assertThat(moves).singleElement().isInstanceOf(PlacementAction.Load.class);
+        List<PlacementAction> actions =
+                policy.decide(view(List.of(deployed("w", 0, 0)), engine("a")));
+        assertThat(actions).singleElement().isInstanceOf(PlacementAction.Load.class);
     }
 
     @Test
     void loadFromTheStoreGoesWhereNoLastCopyAtHandGivesWay() {
-        PlacementView.Engine keepsTheOnly = seat("keeps", "only");
-        PlacementView.Engine keepsShared = seat("shares", "shared");
+        PlacementView.Engine storesTheOnly = engine("keeps", "only");
+        PlacementView.Engine storesShared = engine("shares", "shared");
         PlacementView.Engine other = busy("other", Optional.empty(), "shared", "x");
-        List<PlacementView.DeployedArtifact> wants =
-                List.of(want("w", 1, 3), want("only", 0, 0), want("shared", 0, 0), want("x", 0, 0));
-        assertThat(policy.decide(view(wants, keepsTheOnly, keepsShared, other)))
+        List<PlacementView.DeployedArtifact> deployed =
+                List.of(
+                        deployed("w", 1, 3),
+                        deployed("only", 0, 0),
+                        deployed("shared", 0, 0),
+                        deployed("x", 0, 0));
+        assertThat(policy.decide(view(deployed, storesTheOnly, storesShared, other)))
                 .contains(load("shares", "w"));
     }
 
     @Test
     void modelThatIsAskedForOftenGetsASecondCopyFromTheStore() {
         PlacementView.Engine serves = holding("serves", List.of("hot"), "hot");
-        List<PlacementAction> moves =
-                policy.decide(view(List.of(want("hot", 6, 0)), serves, seat("a"), seat("b")));
-        assertThat(moves).singleElement().matches(move -> move instanceof PlacementAction.Load);
+        List<PlacementAction> actions =
+                policy.decide(
+                        view(List.of(deployed("hot", 6, 0)), serves, engine("a"), engine("b")));
+        assertThat(actions)
+                .singleElement()
+                .matches(action -> action instanceof PlacementAction.Load);
     }
 
     @Test
     void modelThatIsAskedForRarelyGetsNoSecondCopyWhileOthersWait() {
         PlacementView.Engine serves = holding("serves", List.of("rare", "y"), "rare", "y");
-        List<PlacementView.DeployedArtifact> wants = List.of(want("rare", 0.5, 0), want("y", 0, 1));
-        assertThat(policy.decide(view(wants, serves, seat("a")))).isEmpty();
+        List<PlacementView.DeployedArtifact> deployed =
+                List.of(deployed("rare", 0.5, 0), deployed("y", 0, 1));
+        assertThat(policy.decide(view(deployed, serves, engine("a")))).isEmpty();
     }
 
     @Test
     void weightsThatOneEngineAloneKeepsAreBroughtToAnotherInCalm() {
         PlacementView.Engine serves = holding("serves", List.of("rare"), "rare");
-        assertThat(policy.decide(view(List.of(want("rare", 0, 0)), serves, seat("a"))))
+        assertThat(policy.decide(view(List.of(deployed("rare", 0, 0)), serves, engine("a"))))
                 .singleElement()
-                .matches(move -> move instanceof PlacementAction.Load);
+                .matches(action -> action instanceof PlacementAction.Load);
     }
 
     @Test
     void freePlaceIsFilledFromACopyAtHandThoughNobodyWaits() {
-        assertThat(policy.decide(view(List.of(want("w", 0, 0)), seat("a", "w"))))
+        assertThat(policy.decide(view(List.of(deployed("w", 0, 0)), engine("a", "w"))))
                 .singleElement()
                 .isInstanceOf(PlacementAction.Load.class);
     }
@@ -112,9 +129,9 @@
     @Test
     void roomIsMadeTogetherWithTheLoadThatNeedsIt() {
         PlacementView.Engine full = holding("full", List.of("x", "y"), "x", "y", "w");
-        List<PlacementView.DeployedArtifact> wants =
-                List.of(want("w", 1, 3), want("x", 0, 0), want("y", 0, 0));
-        assertThat(policy.decide(view(wants, full)))
+        List<PlacementView.DeployedArtifact> deployed =
+                List.of(deployed("w", 1, 3), deployed("x", 0, 0), deployed("y", 0, 0));
+        assertThat(policy.decide(view(deployed, full)))
                 .hasSize(2)
                 .element(1)
                 .isEqualTo(load("full", "w"));
@@ -123,20 +140,26 @@
     @Test
     void secondCopyGoesToAnotherZone() {
         PlacementView.Engine serves = holding("a1", List.of("hot"), "hot");
-        assertThat(policy.decide(view(List.of(want("hot", 6, 0)), serves, seat("a2"), seat("b1"))))
+        assertThat(
+                        policy.decide(
+                                view(
+                                        List.of(deployed("hot", 6, 0)),
+                                        serves,
+                                        engine("a2"),
+                                        engine("b1"))))
                 .singleElement()
-                .matches(move -> move.upstream().value().equals("b1"));
+                .matches(action -> action.upstream().value().equals("b1"));
     }
 
     @Test
     void whoeverIsAskedForMostIsPlacedBeforeOneThatASingleRequestWaitsFor() {
         PlacementView.Engine serves = holding("serves", List.of("hot", "hot2"), "hot");
-        PlacementView.Engine free = seat("free", "hot", "w");
-        List<PlacementView.DeployedArtifact> wants =
-                List.of(want("hot", 40, 10), want("w", 0.2, 1), want("hot2", 1, 0));
-        assertThat(policy.decide(view(wants, serves, free)))
+        PlacementView.Engine free = engine("free", "hot", "w");
+        List<PlacementView.DeployedArtifact> deployed =
+                List.of(deployed("hot", 40, 10), deployed("w", 0.2, 1), deployed("hot2", 1, 0));
+        assertThat(policy.decide(view(deployed, serves, free)))
                 .first()
-                .matches(move -> move.artifact().equals(artifact("hot")));
+                .matches(action -> action.artifact().equals(artifact("hot")));
     }
 
     @Test
@@ -144,67 +167,73 @@
         PlacementView.Engine one = holding("a1", List.of("hot"), "hot");
         PlacementView.Engine two = holding("b1", List.of("hot"), "hot");
         PlacementView.Engine full = holding("c1", List.of("x", "y"), "hot", "x", "y");
-        List<PlacementView.DeployedArtifact> wants =
-                List.of(want("hot", 20, 0), want("x", 0.5, 0), want("y", 0.5, 0));
-        List<PlacementView.Engine> seats = List.of(one, two, full);
-        assertThat(policy.decide(new PlacementView(seats, wants, 7, 8, NOW))).isNotEmpty();
-        assertThat(policy.decide(new PlacementView(seats, wants, 7, 80, NOW))).isEmpty();
+        List<PlacementView.DeployedArtifact> deployed =
+                List.of(deployed("hot", 20, 0), deployed("x", 0.5, 0), deployed("y", 0.5, 0));
+        List<PlacementView.Engine> engines = List.of(one, two, full);
+        assertThat(policy.decide(new PlacementView(engines, deployed, 7, 8, NOW))).isNotEmpty();
+        assertThat(policy.decide(new PlacementView(engines, deployed, 7, 80, NOW))).isEmpty();
     }
 
     @Test
     void loadTimeIsThatOfTheModel() {
         PlacementView.Engine full = holding("full", List.of("x"), "x");
         PlacementView.Engine other = holding("other", List.of("hot", "z"), "hot", "x");
-        List<PlacementView.DeployedArtifact> quick =
-                List.of(want("hot", 4, 0, 1), want("x", 0, 0, 1), want("z", 0.1, 0, 1));
+        List<PlacementView.DeployedArtifact> fast =
+                List.of(deployed("hot", 4, 0, 1), deployed("x", 0, 0, 1), deployed("z", 0.1, 0, 1));
         List<PlacementView.DeployedArtifact> slow =
-                List.of(want("hot", 4, 0, 60), want("x", 0, 0, 60), want("z", 0.1, 0, 60));
-        assertThat(policy.decide(view(quick, full, other)))
-                .anyMatch(move -> move instanceof PlacementAction.Load);
+                List.of(
+                        deployed("hot", 4, 0, 60),
+                        deployed("x", 0, 0, 60),
+                        deployed("z", 0.1, 0, 60));
+        assertThat(policy.decide(view(fast, full, other)))
+                .anyMatch(action -> action instanceof PlacementAction.Load);
         assertThat(policy.decide(view(slow, full, other)))
-                .noneMatch(move -> move instanceof PlacementAction.Load);
+                .noneMatch(action -> action instanceof PlacementAction.Load);
     }
 
     /**
-     * Rare models that are asked for together leave engines free for one that is asked for more.
+     * Loads of several rarely requested models at once must leave engines free for a model with
+     * higher demand.
      */
     @Test
     void rareModelsThatWaitTogetherTakeAThirdOfTheEnginesAtMost() {
-        List<PlacementView.DeployedArtifact> wants = new ArrayList<>();
-        List<PlacementView.Engine> seats = new ArrayList<>();
+        List<PlacementView.DeployedArtifact> deployed = new ArrayList<>();
+        List<PlacementView.Engine> engines = new ArrayList<>();
         for (int number = 0; number < 9; number++) {
-            wants.add(want("rare" + number, 0.3, 1, 8));
-            seats.add(seat("engine" + number));
+            deployed.add(deployed("rare" + number, 0.3, 1, 8));
+            engines.add(engine("engine" + number));
         }
-        assertThat(loads(wants, seats)).hasSize(3);
-        wants.add(want("busy", 20, 5, 8));
-        assertThat(loads(wants, seats)).contains(load("engine0", "busy")).hasSize(3);
+        assertThat(loads(deployed, engines)).hasSize(3);
+        deployed.add(deployed("busy", 20, 5, 8));
+        assertThat(loads(deployed, engines)).contains(load("engine0", "busy")).hasSize(3);
     }
 
-    /** An engine that loads for long cannot load what it alone has at hand. */
+    /**
+     * While an engine loads from the store, it cannot load a model whose weights it alone stores.
+     */
     @Test
     void loadFromTheStoreGoesWhereItBlocksNoOtherModel() {
-        List<PlacementView.DeployedArtifact> wants =
+        List<PlacementView.DeployedArtifact> deployed =
                 List.of(
-                        want("rare", 0.3, 1, 8),
-                        want("next", 0, 0, 8),
-                        want("x", 0, 0, 8),
-                        want("y", 0, 0, 8));
-        List<PlacementView.Engine> seats =
+                        deployed("rare", 0.3, 1, 8),
+                        deployed("next", 0, 0, 8),
+                        deployed("x", 0, 0, 8),
+                        deployed("y", 0, 0, 8));
+        List<PlacementView.Engine> engines =
                 List.of(
                         holding("alone", List.of("x", "y"), "x", "y", "next"),
                         holding("also", List.of("x", "y"), "x", "y"));
-        assertThat(loads(wants, seats)).contains(load("also", "rare"));
+        assertThat(loads(deployed, engines)).contains(load("also", "rare"));
     }
 
     private List<PlacementAction> loads(
-            List<PlacementView.DeployedArtifact> wants, List<PlacementView.Engine> seats) {
-        return policy.decide(new PlacementView(seats, wants, 20, NOW)).stream()
+            List<PlacementView.DeployedArtifact> deployed, List<PlacementView.Engine> engines) {
+        return policy.decide(new PlacementView(engines, deployed, 20, NOW)).stream()
                 .filter(PlacementAction.Load.class::isInstance)
                 .toList();
     }
 
-    private static PlacementView.DeployedArtifact want(
+    private static PlacementView.DeployedArtifact deployed(
             String model, double rate, int waiting, int storeSeconds) {
         return new PlacementView.DeployedArtifact(
                 artifact(model),
@@ -218,41 +247,43 @@
                 Duration.ofSeconds(storeSeconds));
     }
 
-    private static PlacementAction load(String seat, String model) {
-        return new PlacementAction.Load(new UpstreamId(seat), artifact(model), true);
+    private static PlacementAction load(String engine, String model) {
+        return new PlacementAction.Load(new UpstreamId(engine), artifact(model), true);
     }
 
     private static PlacementView view(
-            List<PlacementView.DeployedArtifact> wants, PlacementView.Engine... seats) {
-        return new PlacementView(List.of(seats), wants, 7, NOW);
+            List<PlacementView.DeployedArtifact> deployed, PlacementView.Engine... engines) {
+        return new PlacementView(List.of(engines), deployed, 7, NOW);
     }
 
-    private static PlacementView.Engine seat(String name, String... near) {
-        return holding(name, List.of(), near);
+    private static PlacementView.Engine engine(String name, String... localWeights) {
+        return holding(name, List.of(), localWeights);
     }
 
-    private static PlacementView.Engine holding(String name, List<String> held, String... near) {
-        return seat(name, held, false, Optional.empty(), near);
+    private static PlacementView.Engine holding(
+            String name, List<String> resident, String... localWeights) {
+        return engine(name, resident, false, Optional.empty(), localWeights);
     }
 
     private static PlacementView.Engine busy(
-            String name, Optional<String> loading, String... near) {
-        return seat(name, List.of(), true, loading, near);
+            String name, Optional<String> loading, String... localWeights) {
+        return engine(name, List.of(), true, loading, localWeights);
     }
 
-    private static PlacementView.Engine seat(
+    private static PlacementView.Engine engine(
             String name,
-            List<String> held,
+            List<String> resident,
             boolean busy,
             Optional<String> loading,
-            String... near) {
+            String... localWeights) {
         Map<ModelId, Duration> copies = new java.util.HashMap<>();
-        Arrays.stream(near).forEach(model -> copies.put(new ModelId(model), NEAR));
+        Arrays.stream(localWeights)
+                .forEach(model -> copies.put(new ModelId(model), LOCAL_LOAD_TIME));
         return new PlacementView.Engine(
                 new UpstreamId(name),
-                200L - 100L * held.size(),
+                200L - 100L * resident.size(),
                 4,
-                held.stream()
+                resident.stream()
                         .map(model -> new PlacementView.ResidentArtifact(artifact(model), 100, 0))
                         .toList(),
                 busy,
@@ -261,7 +292,7 @@
                 Optional.of(new ZoneId(name.substring(0, 1))));
     }
 
-    private static PlacementView.DeployedArtifact want(String model, double rate, int waiting) {
+    private static PlacementView.DeployedArtifact deployed(String model, double rate, int waiting) {
         return new PlacementView.DeployedArtifact(
                 artifact(model), 100, Optional.empty(), 1, rate, waiting, 0, 0);
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/policy/PlacementPolicyTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/policy/PlacementPolicyTest.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** What each policy wants in a given zone. */
+/** Tests the actions that each policy decides on for a given zone. */
 class PlacementPolicyTest {
 
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
@@ -23,10 +23,10 @@
         PlacementView view =
                 view(
                         0,
-                        List.of(held("busy", 60), held("idle", 60)),
-                        want("busy", 1.0, 0, 0, NOW - 5 * SECOND),
-                        want("idle", 0.01, 0, 0, NOW - SECOND),
-                        want("new", 0.1, 1, 0, NOW));
+                        List.of(resident("busy", 60), resident("idle", 60)),
+                        deployed("busy", 1.0, 0, 0, NOW - 5 * SECOND),
+                        deployed("idle", 0.01, 0, 0, NOW - SECOND),
+                        deployed("new", 0.1, 1, 0, NOW));
         assertThat(decide(PolicyName.EXPECTED_GAIN, view))
                 .containsExactly(new PlacementAction.Unload(UPSTREAM, artifact("idle")));
         assertThat(decide(PolicyName.LEAST_RECENTLY_USED, view))
@@ -35,17 +35,17 @@
 
     @Test
     void expectedGainKeepsABusyModelUntilTheOtherHasStarvedLongEnough() {
-        List<PlacementView.ResidentArtifact> resident = List.of(held("busy", 60));
-        PlacementView.DeployedArtifact busy = want("busy", 0.2, 0, 0, NOW);
+        List<PlacementView.ResidentArtifact> resident = List.of(resident("busy", 60));
+        PlacementView.DeployedArtifact busy = deployed("busy", 0.2, 0, 0, NOW);
         assertThat(
                         decide(
                                 PolicyName.EXPECTED_GAIN,
-                                view(0, resident, busy, want("rare", 0.01, 1, 1, NOW))))
+                                view(0, resident, busy, deployed("rare", 0.01, 1, 1, NOW))))
                 .isEmpty();
         assertThat(
                         decide(
                                 PolicyName.EXPECTED_GAIN,
-                                view(0, resident, busy, want("rare", 0.01, 1, 20, NOW))))
+                                view(0, resident, busy, deployed("rare", 0.01, 1, 20, NOW))))
                 .containsExactly(new PlacementAction.Unload(UPSTREAM, artifact("busy")));
     }
 
@@ -54,16 +54,16 @@
         PlacementView view =
                 view(
                         0,
-                        List.of(held("fresh", 2)),
-                        want("fresh", 0, 0, 0, NOW),
-                        want("new", 5, 9, 60, NOW));
+                        List.of(resident("fresh", 2)),
+                        deployed("fresh", 0, 0, 0, NOW),
+                        deployed("new", 5, 9, 60, NOW));
         assertThat(decide(PolicyName.EXPECTED_GAIN, view)).isEmpty();
     }
 
     @Test
     void waitingModelIsLoadedIntoFreeMemoryByEveryPolicy() {
         for (PolicyName name : PolicyName.values()) {
-            PlacementView view = view(500, List.of(), want("new", 0.1, 1, 0, NOW));
+            PlacementView view = view(500, List.of(), deployed("new", 0.1, 1, 0, NOW));
             assertThat(decide(name, view))
                     .as(name.text())
                     .containsExactly(new PlacementAction.Load(UPSTREAM, artifact("new"), true));
@@ -72,20 +72,20 @@
 
     @Test
     void modelThatCarriesAdaptersIsEvictedAfterThem() {
-        PlacementView.ResidentArtifact base = held("base", 60);
+        PlacementView.ResidentArtifact base = resident("base", 60);
         PlacementView.ResidentArtifact adapter =
                 new PlacementView.ResidentArtifact(artifact("adapter"), 1, NOW - 60 * SECOND);
-        PlacementView.DeployedArtifact wantsBase =
+        PlacementView.DeployedArtifact deployedAdapter =
                 new PlacementView.DeployedArtifact(
                         artifact("adapter"), 1, Optional.of(artifact("base")), 1, 0.01, 0, 0, NOW);
-        PlacementView.DeployedArtifact starving = want("new", 0.1, 1, 30, NOW);
-        PlacementView.DeployedArtifact idle = want("base", 0.01, 0, 0, NOW);
+        PlacementView.DeployedArtifact starving = deployed("new", 0.1, 1, 30, NOW);
+        PlacementView.DeployedArtifact idle = deployed("base", 0.01, 0, 0, NOW);
         for (PolicyName name : List.of(PolicyName.EXPECTED_GAIN, PolicyName.LEAST_RECENTLY_USED)) {
-            PlacementView both = view(0, List.of(base, adapter), idle, wantsBase, starving);
+            PlacementView both = view(0, List.of(base, adapter), idle, deployedAdapter, starving);
             assertThat(decide(name, both))
                     .as(name.text())
                     .containsExactly(new PlacementAction.Unload(UPSTREAM, artifact("adapter")));
-            PlacementView left = view(1, List.of(base), idle, wantsBase, starving);
+            PlacementView left = view(1, List.of(base), idle, deployedAdapter, starving);
             assertThat(decide(name, left))
                     .as(name.text())
                     .containsExactly(new PlacementAction.Unload(UPSTREAM, artifact("base")));
@@ -95,13 +95,14 @@
     @Test
     void oldVersionStaysUntilTheNewOneServes() {
         Artifact old = new Artifact(new ModelId("m"), "0");
-        PlacementView.ResidentArtifact heldOld = new PlacementView.ResidentArtifact(old, 100, 0);
-        PlacementView.DeployedArtifact want = want("m", 1, 0, 0, NOW);
+        PlacementView.ResidentArtifact residentOld =
+                new PlacementView.ResidentArtifact(old, 100, 0);
+        PlacementView.DeployedArtifact deployed = deployed("m", 1, 0, 0, NOW);
         for (PolicyName name : PolicyName.values()) {
-            assertThat(decide(name, view(0, List.of(heldOld), want)))
+            assertThat(decide(name, view(0, List.of(residentOld), deployed)))
                     .as(name.text())
-                    .noneMatch(move -> move instanceof PlacementAction.Unload);
-            assertThat(decide(name, view(0, List.of(heldOld, held("m", 60)), want)))
+                    .noneMatch(action -> action instanceof PlacementAction.Unload);
+            assertThat(decide(name, view(0, List.of(residentOld, resident("m", 60)), deployed)))
                     .as(name.text())
                     .containsExactly(new PlacementAction.Unload(UPSTREAM, old));
         }
@@ -113,18 +114,18 @@
 
     private static PlacementView view(
             long freeMib,
-            List<PlacementView.ResidentArtifact> held,
-            PlacementView.DeployedArtifact... wants) {
-        PlacementView.Engine seat =
-                new PlacementView.Engine(UPSTREAM, freeMib, 4, held, false, Optional.empty());
-        return new PlacementView(List.of(seat), List.of(wants), 10, NOW);
+            List<PlacementView.ResidentArtifact> resident,
+            PlacementView.DeployedArtifact... deployed) {
+        PlacementView.Engine engine =
+                new PlacementView.Engine(UPSTREAM, freeMib, 4, resident, false, Optional.empty());
+        return new PlacementView(List.of(engine), List.of(deployed), 10, NOW);
     }
 
-    private static PlacementView.ResidentArtifact held(String model, long secondsAgo) {
+    private static PlacementView.ResidentArtifact resident(String model, long secondsAgo) {
         return new PlacementView.ResidentArtifact(artifact(model), 100, NOW - secondsAgo * SECOND);
     }
 
-    private static PlacementView.DeployedArtifact want(
+    private static PlacementView.DeployedArtifact deployed(
             String model, double rate, int waiting, double starved, long lastUsed) {
         return new PlacementView.DeployedArtifact(
                 artifact(model), 100, Optional.empty(), 1, rate, waiting, starved, lastUsed);
