--- a/stackhall-core/src/test/java/io/stackhall/core/policy/NearestCopyPolicyTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/policy/NearestCopyPolicyTest.java
@@ -23,7 +23,7 @@
     private final NearestCopyPolicy policy = new NearestCopyPolicy();
 
     @Test
-    void waitingModelIsLoadedWhereItsWeightsAreAtHand() {
+    void waitingModelIsLoadedFromLocalWeights() {
         List<PlacementAction> actions =
                 policy.decide(
                         view(List.of(deployed("w", 1, 3)), engine("far"), engine("near", "w")));
@@ -31,14 +31,14 @@
     }
 
     @Test
-    void storeIsNotAskedWhileTheEngineThatHasACopyIsFreeSoon() {
+    void storeIsNotUsedWhileAnEngineWithLocalWeightsIsFreeSoon() {
         PlacementView.Engine busy = busy("near", Optional.empty(), "w");
         assertThat(policy.decide(view(List.of(deployed("w", 1, 3)), engine("far"), busy)))
                 .isEmpty();
     }
 
     @Test
-    void storeIsAskedWhileTheEngineThatHasACopyLoadsFromItItself() {
+    void storeIsUsedWhileTheEngineWithLocalWeightsLoadsFromTheStore() {
         PlacementView.Engine busy = busy("near", Optional.of("other"), "w");
         List<PlacementAction> actions =
                 policy.decide(
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void copyThatOthersHaveTooGivesWayBeforeAnOnlyOne() {
+    void copyWithOtherLocationsIsEvictedBeforeAnOnlyOne() {
         PlacementView.Engine full =
                 holding("full", List.of("only", "shared"), "only", "shared", "w");
         PlacementView.Engine other = holding("other", List.of("shared", "x"), "shared", "x");
@@ -71,14 +71,14 @@
     }
 
     @Test
-    void modelThatNoEngineKeepsAtHandIsLoadedBeforeItIsAskedFor() {
+    void modelWithoutWeightLocationIsLoadedBeforeItIsRequested() {
         List<PlacementAction> actions =
                 policy.decide(view(List.of(deployed("w", 0, 0)), engine("a")));
         assertThat(actions).singleElement().isInstanceOf(PlacementAction.Load.class);
     }
 
     @Test
-    void loadFromTheStoreGoesWhereNoLastCopyAtHandGivesWay() {
+    void loadFromTheStoreDisplacesNoOnlyLocalWeights() {
         PlacementView.Engine storesTheOnly = engine("keeps", "only");
         PlacementView.Engine storesShared = engine("shares", "shared");
         PlacementView.Engine other = busy("other", Optional.empty(), "shared", "x");
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void modelThatIsAskedForOftenGetsASecondCopyFromTheStore() {
+    void frequentlyRequestedModelGetsASecondCopyFromTheStore() {
         PlacementView.Engine serves = holding("serves", List.of("hot"), "hot");
         List<PlacementAction> actions =
                 policy.decide(
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void modelThatIsAskedForRarelyGetsNoSecondCopyWhileOthersWait() {
+    void rarelyRequestedModelGetsNoSecondCopyWhileOthersWait() {
         PlacementView.Engine serves = holding("serves", List.of("rare", "y"), "rare", "y");
         List<PlacementView.DeployedArtifact> deployed =
                 List.of(deployed("rare", 0.5, 0), deployed("y", 0, 1));
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void weightsThatOneEngineAloneKeepsAreBroughtToAnotherInCalm() {
+    void onlyWeightLocationGetsASecondOneWhileNoRequestsWait() {
         PlacementView.Engine serves = holding("serves", List.of("rare"), "rare");
         assertThat(policy.decide(view(List.of(deployed("rare", 0, 0)), serves, engine("a"))))
                 .singleElement()
@@ -120,14 +120,14 @@
     }
 
     @Test
-    void freePlaceIsFilledFromACopyAtHandThoughNobodyWaits() {
+    void freeMemoryIsFilledFromLocalWeightsWithoutWaitingRequests() {
         assertThat(policy.decide(view(List.of(deployed("w", 0, 0)), engine("a", "w"))))
                 .singleElement()
                 .isInstanceOf(PlacementAction.Load.class);
     }
 
     @Test
-    void roomIsMadeTogetherWithTheLoadThatNeedsIt() {
+    void evictionIsFollowedByTheLoadThatNeedsIt() {
         PlacementView.Engine full = holding("full", List.of("x", "y"), "x", "y", "w");
         List<PlacementView.DeployedArtifact> deployed =
                 List.of(deployed("w", 1, 3), deployed("x", 0, 0), deployed("y", 0, 0));
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void whoeverIsAskedForMostIsPlacedBeforeOneThatASingleRequestWaitsFor() {
+    void modelWithMostRequestsIsPlacedBeforeOneWithASingleWaitingRequest() {
         PlacementView.Engine serves = holding("serves", List.of("hot", "hot2"), "hot");
         PlacementView.Engine free = engine("free", "hot", "w");
         List<PlacementView.DeployedArtifact> deployed =
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void enginesThatDoMoreNeedFewerCopies() {
+    void enginesOfHigherCapacityNeedFewerCopies() {
         PlacementView.Engine one = holding("a1", List.of("hot"), "hot");
         PlacementView.Engine two = holding("b1", List.of("hot"), "hot");
         PlacementView.Engine full = holding("c1", List.of("x", "y"), "hot", "x", "y");
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void loadTimeIsThatOfTheModel() {
+    void longerLoadTimeOfTheModelPreventsASpeculativeLoad() {
         PlacementView.Engine full = holding("full", List.of("x"), "x");
         PlacementView.Engine other = holding("other", List.of("hot", "z"), "hot", "x");
         List<PlacementView.DeployedArtifact> fast =
--- a/stackhall-core/src/test/java/io/stackhall/core/policy/PlacementPolicyTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/policy/PlacementPolicyTest.java
@@ -19,7 +19,7 @@
     private static final UpstreamId UPSTREAM = new UpstreamId("u");
 
     @Test
-    void expectedGainEvictsTheModelThatIsAskedForLeastThoughItWasUsedLast() {
+    void expectedGainEvictsTheModelWithFewestRequestsThoughItWasUsedLast() {
         PlacementView view =
                 view(
                         0,
