--- a/stackhall-core/src/main/java/io/stackhall/core/backpressure/Backpressure.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/backpressure/Backpressure.java
@@ -63,23 +63,23 @@
 
     /** Notes that a request waits for a permit, and returns when it may expect one. */
     public PermitWaits awaitPermit(UpstreamId id, long now) {
-        return limits.await(id, now);
+        return limits.awaitPermit(id, now);
     }
 
     /** Notes that a request which others serve could be sent to an upstream with a limit. */
     public void spare(UpstreamId id, long now) {
-        limits.spare(id, now);
+        limits.requestOptionalPermit(id, now);
     }
 
     /** Returns whether such a request should ask for a permit. */
     public boolean spareDue(UpstreamId id, long now) {
-        return limits.spareDue(id, now);
+        return limits.optionalRequestDue(id, now);
     }
 
     /** Notes that an upstream wants nothing from this host for some time. */
     public void wantsRest(UpstreamId id, Duration time, long now) {
         rests.wantsRest(id, time, now);
-        limits.giveBack(id, now);
+        limits.returnPermit(id, now);
     }
 
     /** Notes that an upstream has turned a request away and does not say for how long. */
@@ -116,7 +116,7 @@
 
     /** Takes in how many hosts share the limits. */
     public void shared(int hosts) {
-        limits.shared(hosts);
+        limits.setHostCount(hosts);
     }
 
     /** Forgets an upstream that is gone. */
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/Choice.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/Choice.java
@@ -53,7 +53,7 @@
 
         @Override
         public Duration expected(int ahead) {
-            return waits.behind(ahead);
+            return waits.waitBehind(ahead);
         }
 
         @Override
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/LimitKeeper.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/LimitManager.java
@@ -24,13 +24,13 @@
  *
  * <p>Not thread-safe: one thread uses it.
  */
-public final class LimitKeeper {
+public final class LimitManager {
 
     /**
      * An upstream that takes nothing still gets a request now and then, since only an answer can
      * tell that the limit has ended.
      */
-    static final double LEAST_PER_SECOND = 0.1;
+    static final double MIN_PER_SECOND = 0.1;
 
     /** How long each step of a limit's end lasts; an answer of the upstream comes within it. */
     private static final long STEP_NANOS = Duration.ofSeconds(1).toNanos();
@@ -39,17 +39,17 @@
     private static final int STEPS = 4;
 
     private final LimitTable table = new LimitTable();
-    private final HostsInReach hosts = new HostsInReach();
+    private final ReachableHosts reachableHosts = new ReachableHosts();
     private final Map<UpstreamId, PermitQueue> queues = new HashMap<>();
     private final Map<UpstreamId, Ending> endings = new HashMap<>();
     private long term;
-    private long count;
+    private long sequence;
 
     /** How far the end of a limit has come. */
     private record Ending(int steps, long since) {}
 
     /** What is to be told: new words to all hosts, answers to those that asked. */
-    public record Step(List<LimitWord> words, List<PermitAnswer> answers) {}
+    public record Decisions(List<LimitUpdate> updates, List<PermitAnswer> answers) {}
 
     /**
      * Begins to decide, as the leader of a term. What its predecessor granted is not known: each
@@ -57,10 +57,10 @@
      */
     public void lead(long newTerm, long now) {
         term = newTerm;
-        count = 0;
+        sequence = 0;
         queues.clear();
         endings.clear();
-        for (LimitWord word : table.all()) {
+        for (LimitUpdate word : table.all()) {
             if (word.ending()) {
                 endings.put(word.upstream(), new Ending(0, now));
             }
@@ -68,7 +68,7 @@
     }
 
     /** Takes in what the leader says, and returns whether it is news. */
-    public boolean told(LimitWord word) {
+    public boolean receive(LimitUpdate word) {
         return table.merge(word);
     }
 
@@ -85,8 +85,8 @@
     }
 
     /** Takes in that a host has reported to this one. */
-    public void reported(HostId host, long now) {
-        hosts.heard(host, false, now);
+    public void hostReported(HostId host, long now) {
+        reachableHosts.reported(host, false, now);
     }
 
     /**
@@ -95,55 +95,55 @@
      * <p>A stricter limit always counts, since holding back does no harm; a looser one, or none,
      * only if the host already knew the newest word when it asked.
      */
-    public List<LimitWord> heard(HeardLimit heard, long now) {
+    public List<LimitUpdate> observe(LimitObservation heard, long now) {
         UpstreamId upstream = heard.upstream();
-        LimitWord known = table.find(upstream);
+        LimitUpdate known = table.find(upstream);
         boolean newest = heard.basis().compareTo(known.revision()) >= 0;
-        boolean counts = newest || known.stricter(heard.perSecond());
-        if (known.says(heard.perSecond()) || !counts) {
+        boolean counts = newest || known.isTightenedBy(heard.perSecond());
+        if (known.matches(heard.perSecond()) || !counts) {
             return List.of();
         }
         if (heard.perSecond().isPresent()) {
             endings.remove(upstream);
-            return List.of(say(upstream, heard.perSecond(), false));
+            return List.of(publish(upstream, heard.perSecond(), false));
         }
         endings.put(upstream, new Ending(1, now));
-        return List.of(say(upstream, raised(known), true));
+        return List.of(publish(upstream, raised(known), true));
     }
 
-    private LimitWord say(UpstreamId upstream, OptionalDouble perSecond, boolean ending) {
-        LimitWord word =
-                new LimitWord(upstream, perSecond, ending, new LimitRevision(term, ++count));
+    private LimitUpdate publish(UpstreamId upstream, OptionalDouble perSecond, boolean ending) {
+        LimitUpdate word =
+                new LimitUpdate(upstream, perSecond, ending, new LimitRevision(term, ++sequence));
         table.merge(word);
         return word;
     }
 
-    private static OptionalDouble raised(LimitWord known) {
-        return OptionalDouble.of(STEP_FACTOR * pace(known));
+    private static OptionalDouble raised(LimitUpdate known) {
+        return OptionalDouble.of(STEP_FACTOR * rate(known));
     }
 
-    private static double pace(LimitWord word) {
-        return Math.max(LEAST_PER_SECOND, word.perSecond().orElse(0));
+    private static double rate(LimitUpdate word) {
+        return Math.max(MIN_PER_SECOND, word.perSecond().orElse(0));
     }
 
     /** Takes in what a host wants, and returns the answers that are due; for the leader alone. */
-    public List<PermitAnswer> wanted(PermitWant want, long now) {
-        hosts.heard(want.host(), want.unled(), now);
+    public List<PermitAnswer> request(PermitRequest want, long now) {
+        reachableHosts.reported(want.host(), want.autonomous(), now);
         if (!table.find(want.upstream()).limited()) {
             return List.of();
         }
         PermitQueue queue = queue(want.upstream(), now);
-        queue.spent(-want.returned(), now);
-        return queue.wanted(want, now);
+        queue.consume(-want.returned(), now);
+        return queue.request(want, now);
     }
 
     /** Returns what is due; for the leader alone, to be called several times in a tenth second. */
-    public Step step(long now) {
-        List<LimitWord> words = new ArrayList<>();
+    public Decisions advance(long now) {
+        List<LimitUpdate> words = new ArrayList<>();
         for (UpstreamId upstream : List.copyOf(endings.keySet())) {
             Ending ending = endings.get(upstream);
             if (now - ending.since() >= STEP_NANOS) {
-                words.add(next(upstream, ending, now));
+                words.add(nextStep(upstream, ending, now));
             }
         }
         List<PermitAnswer> answers = new ArrayList<>();
@@ -151,21 +151,21 @@
         for (UpstreamId upstream : queues.keySet()) {
             answers.addAll(queue(upstream, now).grant(now));
         }
-        return new Step(words, answers);
+        return new Decisions(words, answers);
     }
 
-    private LimitWord next(UpstreamId upstream, Ending ending, long now) {
+    private LimitUpdate nextStep(UpstreamId upstream, Ending ending, long now) {
         if (ending.steps() >= STEPS) {
             endings.remove(upstream);
-            return say(upstream, OptionalDouble.empty(), false);
+            return publish(upstream, OptionalDouble.empty(), false);
         }
         endings.put(upstream, new Ending(ending.steps() + 1, now));
-        return say(upstream, raised(table.find(upstream)), true);
+        return publish(upstream, raised(table.find(upstream)), true);
     }
 
     private PermitQueue queue(UpstreamId upstream, long now) {
         PermitQueue queue = queues.computeIfAbsent(upstream, id -> new PermitQueue(id, now));
-        queue.rate(pace(table.find(upstream)) * hosts.share(now), now);
+        queue.setRate(rate(table.find(upstream)) * reachableHosts.share(now), now);
         return queue;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/HeardLimit.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/LimitObservation.java
@@ -10,4 +10,5 @@
  * @param basis what the host had last heard of the limit when it sent the request: an answer may
  *     only end what was known before it was asked for
  */
-public record HeardLimit(UpstreamId upstream, OptionalDouble perSecond, LimitRevision basis) {}
+public record LimitObservation(
+        UpstreamId upstream, OptionalDouble perSecond, LimitRevision basis) {}
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/LimitRevision.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/LimitRevision.java
@@ -9,15 +9,16 @@
  * @param term the term of the leader that said it, or 0 where nothing was said
  * @param count how much that leader had said by then
  */
-public record LimitRevision(long term, long count) implements Comparable<LimitRevision> {
+public record LimitRevision(long term, long sequence) implements Comparable<LimitRevision> {
 
     private static final Comparator<LimitRevision> ORDER =
-            Comparator.comparingLong(LimitRevision::term).thenComparingLong(LimitRevision::count);
+            Comparator.comparingLong(LimitRevision::term)
+                    .thenComparingLong(LimitRevision::sequence);
 
     /** Checks the figures. */
     public LimitRevision {
-        if (term < 0 || count < 0) {
-            throw new IllegalArgumentException("term " + term + ", count " + count);
+        if (term < 0 || sequence < 0) {
+            throw new IllegalArgumentException("term " + term + ", count " + sequence);
         }
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/LimitTable.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/LimitTable.java
@@ -15,40 +15,40 @@
  */
 public final class LimitTable {
 
-    private final Map<UpstreamId, LimitWord> words = new HashMap<>();
+    private final Map<UpstreamId, LimitUpdate> updates = new HashMap<>();
 
     /** Takes in a word, and returns whether it is newer than what was known. */
-    public boolean merge(LimitWord word) {
+    public boolean merge(LimitUpdate word) {
         if (word.revision().compareTo(find(word.upstream()).revision()) <= 0) {
             return false;
         }
-        words.put(word.upstream(), word);
+        updates.put(word.upstream(), word);
         return true;
     }
 
     /** Returns the newest word of an upstream. */
-    public LimitWord find(UpstreamId upstream) {
-        LimitWord word = words.get(upstream);
-        return word == null ? LimitWord.none(upstream) : word;
+    public LimitUpdate find(UpstreamId upstream) {
+        LimitUpdate word = updates.get(upstream);
+        return word == null ? LimitUpdate.none(upstream) : word;
     }
 
     /** Returns the newest word of each upstream that ever had a limit. */
-    public Collection<LimitWord> all() {
-        return List.copyOf(words.values());
+    public Collection<LimitUpdate> all() {
+        return List.copyOf(updates.values());
     }
 
     /** Returns the words that name a limit. */
-    public List<LimitWord> inForce() {
-        return words.values().stream().filter(LimitWord::limited).toList();
+    public List<LimitUpdate> inForce() {
+        return updates.values().stream().filter(LimitUpdate::limited).toList();
     }
 
     /** Forgets an upstream that is gone. */
     public void forget(UpstreamId upstream) {
-        words.remove(upstream);
+        updates.remove(upstream);
     }
 
     /** Forgets all upstreams but some. */
     public void retain(Set<UpstreamId> upstreams) {
-        words.keySet().retainAll(upstreams);
+        updates.keySet().retainAll(upstreams);
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/LimitWord.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/LimitUpdate.java
@@ -14,11 +14,11 @@
  *     it the return of all at once
  * @param revision orders the words of one upstream
  */
-public record LimitWord(
+public record LimitUpdate(
         UpstreamId upstream, OptionalDouble perSecond, boolean ending, LimitRevision revision) {
 
     /** Checks the figure. */
-    public LimitWord {
+    public LimitUpdate {
         Objects.requireNonNull(upstream, "upstream");
         Objects.requireNonNull(revision, "revision");
         if (perSecond.isPresent() && !(perSecond.getAsDouble() >= 0)) {
@@ -27,8 +27,8 @@
     }
 
     /** Returns the word of an upstream of which nothing was said. */
-    static LimitWord none(UpstreamId upstream) {
-        return new LimitWord(upstream, OptionalDouble.empty(), false, LimitRevision.none());
+    static LimitUpdate none(UpstreamId upstream) {
+        return new LimitUpdate(upstream, OptionalDouble.empty(), false, LimitRevision.none());
     }
 
     /** Returns a limit as logs tell it. */
@@ -39,7 +39,7 @@
     /** Returns the word as logs tell it. */
     public String fields() {
         return "id=%s perSecond=%s ending=%s term=%d count=%d"
-                .formatted(upstream, text(perSecond), ending, revision.term(), revision.count());
+                .formatted(upstream, text(perSecond), ending, revision.term(), revision.sequence());
     }
 
     /** Returns whether there is a limit. */
@@ -48,12 +48,12 @@
     }
 
     /** Returns whether the upstream itself named just this. */
-    boolean says(OptionalDouble named) {
+    boolean matches(OptionalDouble named) {
         return named.isPresent() ? !ending && named.equals(perSecond) : ending || !limited();
     }
 
     /** Returns whether a figure allows less than this. */
-    boolean stricter(OptionalDouble named) {
+    boolean isTightenedBy(OptionalDouble named) {
         return named.isPresent()
                 && named.getAsDouble() < perSecond.orElse(Double.POSITIVE_INFINITY);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/PermitQueue.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/PermitQueue.java
@@ -20,90 +20,90 @@
 final class PermitQueue {
 
     /** A host that still waits asks again several times in this time. */
-    private static final long WANT_HOLDS_NANOS = Duration.ofSeconds(1).toNanos();
+    private static final long REQUEST_EXPIRY_NANOS = Duration.ofSeconds(1).toNanos();
 
     /** Permits may be granted together for this time: so far apart are the looks of the keeper. */
-    private static final double TOGETHER_SECONDS = 0.1;
+    private static final double BURST_SECONDS = 0.1;
 
     /** Nobody is told a longer time: by then the limit may have changed. */
-    private static final Duration LONGEST_WAIT = Duration.ofSeconds(30);
+    private static final Duration MAX_REPORTED_WAIT = Duration.ofSeconds(30);
 
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final UpstreamId upstream;
-    private final List<HostId> places = new ArrayList<>();
-    private final Map<HostId, Asked> asked = new HashMap<>();
+    private final List<HostId> queue = new ArrayList<>();
+    private final Map<HostId, LastRequest> lastRequests = new HashMap<>();
     private double perSecond;
-    private double level;
-    private long countedAt;
+    private double tokens;
+    private long refilledAt;
 
     /** When a host asked last, on its clock, and when that was heard, on the keeper's. */
-    private record Asked(long askedAt, long heardAt) {}
+    private record LastRequest(long requestedAt, long receivedAt) {}
 
     /**
      * Creates a queue that has to earn its first permit: what was sent just before is not known.
      */
     PermitQueue(UpstreamId upstream, long now) {
         this.upstream = upstream;
-        this.countedAt = now;
+        this.refilledAt = now;
     }
 
     /** Takes over how many permits may be granted in a second from now on. */
-    void rate(double next, long now) {
-        count(now);
+    void setRate(double next, long now) {
+        refill(now);
         perSecond = next;
-        level = Math.min(level, burst());
+        tokens = Math.min(tokens, burst());
     }
 
     private double burst() {
-        return 1 + Math.max(1, perSecond * TOGETHER_SECONDS);
+        return 1 + Math.max(1, perSecond * BURST_SECONDS);
     }
 
     /** Takes in requests that were sent without a permit; negative for permits that come back. */
-    void spent(double permits, long now) {
-        count(now);
-        level = Math.min(burst(), level - permits);
+    void consume(double permits, long now) {
+        refill(now);
+        tokens = Math.min(burst(), tokens - permits);
     }
 
     /** Takes in what a host wants, and returns all answers that are due. */
-    List<PermitAnswer> wanted(PermitWant want, long now) {
-        asked.put(want.host(), new Asked(want.askedAt(), now));
-        keepPlaces(want.host(), want.alone());
+    List<PermitAnswer> request(PermitRequest want, long now) {
+        lastRequests.put(want.host(), new LastRequest(want.requestedAt(), now));
+        resizeEntries(want.host(), want.exclusive());
         List<PermitAnswer> answers = new ArrayList<>(grant(now));
         boolean granted = answers.stream().anyMatch(one -> one.host().equals(want.host()));
-        if (want.alone() > 0 && !granted) {
-            answers.add(answer(want.host(), want.askedAt(), false));
-        } else if (want.spare()) {
-            boolean spare = places.isEmpty() && level >= burst();
-            level -= spare ? 1 : 0;
-            answers.add(answer(want.host(), want.askedAt(), spare));
+        if (want.exclusive() > 0 && !granted) {
+            answers.add(answer(want.host(), want.requestedAt(), false));
+        } else if (want.optional()) {
+            boolean spare = queue.isEmpty() && tokens >= burst();
+            tokens -= spare ? 1 : 0;
+            answers.add(answer(want.host(), want.requestedAt(), spare));
         }
         return answers;
     }
 
-    private void keepPlaces(HostId host, int wanted) {
+    private void resizeEntries(HostId host, int wanted) {
         int kept = 0;
-        Iterator<HostId> each = places.iterator();
+        Iterator<HostId> each = queue.iterator();
         while (each.hasNext()) {
             if (each.next().equals(host) && ++kept > wanted) {
                 each.remove();
             }
         }
         for (int place = kept; place < wanted; place++) {
-            places.add(host);
+            queue.add(host);
         }
     }
 
     /** Grants what there is room for, to those that have waited longest. */
     List<PermitAnswer> grant(long now) {
-        count(now);
-        asked.values().removeIf(one -> now - one.heardAt() > WANT_HOLDS_NANOS);
-        places.removeIf(host -> !asked.containsKey(host));
+        refill(now);
+        lastRequests.values().removeIf(one -> now - one.receivedAt() > REQUEST_EXPIRY_NANOS);
+        queue.removeIf(host -> !lastRequests.containsKey(host));
         List<PermitAnswer> answers = new ArrayList<>();
-        while (level >= 1 && !places.isEmpty()) {
-            HostId host = places.removeFirst();
-            level -= 1;
-            answers.add(answer(host, asked.get(host).askedAt(), true));
+        while (tokens >= 1 && !queue.isEmpty()) {
+            HostId host = queue.removeFirst();
+            tokens -= 1;
+            answers.add(answer(host, lastRequests.get(host).requestedAt(), true));
         }
         return answers;
     }
@@ -111,27 +111,27 @@
     private PermitAnswer answer(HostId host, long askedAt, boolean granted) {
         List<Duration> taken = new ArrayList<>();
         int ahead = 0;
-        for (HostId other : places) {
+        for (HostId other : queue) {
             ahead++;
             if (other.equals(host)) {
-                taken.add(after(ahead - level));
+                taken.add(timeUntil(ahead - tokens));
             }
         }
-        PermitWaits waits = new PermitWaits(taken, after(ahead + 1 - level), after(1));
+        PermitWaits waits = new PermitWaits(taken, timeUntil(ahead + 1 - tokens), timeUntil(1));
         return new PermitAnswer(host, upstream, askedAt, granted, waits);
     }
 
-    private Duration after(double permits) {
+    private Duration timeUntil(double permits) {
         if (perSecond <= 0) {
-            return LONGEST_WAIT;
+            return MAX_REPORTED_WAIT;
         }
         double seconds = Math.max(0, permits) / perSecond;
         Duration time = Duration.ofNanos(Math.round(seconds * NANOS_PER_SECOND));
-        return time.compareTo(LONGEST_WAIT) < 0 ? time : LONGEST_WAIT;
+        return time.compareTo(MAX_REPORTED_WAIT) < 0 ? time : MAX_REPORTED_WAIT;
     }
 
-    private void count(long now) {
-        level = Math.min(burst(), level + perSecond * (now - countedAt) / NANOS_PER_SECOND);
-        countedAt = now;
+    private void refill(long now) {
+        tokens = Math.min(burst(), tokens + perSecond * (now - refilledAt) / NANOS_PER_SECOND);
+        refilledAt = now;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/PermitWant.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/PermitRequest.java
@@ -14,19 +14,19 @@
  *     sent without one
  * @param unled whether it has begun to send without a keeper, for want of answers
  */
-public record PermitWant(
+public record PermitRequest(
         HostId host,
         UpstreamId upstream,
-        int alone,
-        boolean spare,
-        long askedAt,
+        int exclusive,
+        boolean optional,
+        long requestedAt,
         int returned,
-        boolean unled) {
+        boolean autonomous) {
 
     /** Checks the figures. */
-    public PermitWant {
-        if (alone < 0) {
-            throw new IllegalArgumentException("alone is " + alone);
+    public PermitRequest {
+        if (exclusive < 0) {
+            throw new IllegalArgumentException("alone is " + exclusive);
         }
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/PermitWaits.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/PermitWaits.java
@@ -10,11 +10,11 @@
  * @param next for one more
  * @param each for each further one after that
  */
-public record PermitWaits(List<Duration> taken, Duration next, Duration each) {
+public record PermitWaits(List<Duration> queued, Duration next, Duration increment) {
 
     /** Copies the list. */
     public PermitWaits {
-        taken = List.copyOf(taken);
+        queued = List.copyOf(queued);
     }
 
     /** Returns the waits while nothing is known of the queue. */
@@ -23,19 +23,21 @@
     }
 
     /** Returns when a request may expect its permit before which others of its host wait. */
-    public Duration behind(int ahead) {
-        return ahead < taken.size()
-                ? taken.get(ahead)
-                : next.plus(each.multipliedBy(ahead - taken.size()));
+    public Duration waitBehind(int ahead) {
+        return ahead < queued.size()
+                ? queued.get(ahead)
+                : next.plus(increment.multipliedBy(ahead - queued.size()));
     }
 
     /** Returns the waits as they are some time later. */
-    PermitWaits after(Duration passed) {
+    PermitWaits afterElapsed(Duration passed) {
         return new PermitWaits(
-                taken.stream().map(wait -> less(wait, passed)).toList(), less(next, passed), each);
+                queued.stream().map(wait -> subtract(wait, passed)).toList(),
+                subtract(next, passed),
+                increment);
     }
 
-    private static Duration less(Duration wait, Duration passed) {
+    private static Duration subtract(Duration wait, Duration passed) {
         return wait.compareTo(passed) > 0 ? wait.minus(passed) : Duration.ZERO;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/HostsInReach.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/ReachableHosts.java
@@ -11,37 +11,39 @@
  *
  * <p>Not thread-safe: one thread uses it.
  */
-final class HostsInReach {
+final class ReachableHosts {
 
     /** Hosts report every second; they send by themselves only after a longer silence. */
-    static final Duration HEARD_WITHIN = Duration.ofMillis(1600);
+    static final Duration REPORT_TIMEOUT = Duration.ofMillis(1600);
 
     /** A host that was silent for this long is taken for gone, not for cut off. */
-    private static final Duration FORGOTTEN_AFTER = Duration.ofMinutes(1);
+    private static final Duration EXPIRY = Duration.ofMinutes(1);
 
-    private final Map<HostId, Long> heardAt = new HashMap<>();
+    private final Map<HostId, Long> lastReportAt = new HashMap<>();
 
     /**
      * Takes in that a host reports.
      *
      * @param unled whether it sends by itself, since nothing reaches it
      */
-    void heard(HostId host, boolean unled, long now) {
+    void reported(HostId host, boolean unled, long now) {
         if (unled) {
-            heardAt.put(host, now - HEARD_WITHIN.toNanos() - 1);
+            lastReportAt.put(host, now - REPORT_TIMEOUT.toNanos() - 1);
         } else {
-            heardAt.put(host, now);
+            lastReportAt.put(host, now);
         }
     }
 
     /** Returns the part of the hosts that is in reach, between 0 and 1. */
     double share(long now) {
-        heardAt.values().removeIf(at -> now - at > FORGOTTEN_AFTER.toNanos());
-        if (heardAt.isEmpty()) {
+        lastReportAt.values().removeIf(at -> now - at > EXPIRY.toNanos());
+        if (lastReportAt.isEmpty()) {
             return 1;
         }
         long near =
-                heardAt.values().stream().filter(at -> now - at <= HEARD_WITHIN.toNanos()).count();
-        return (double) near / heardAt.size();
+                lastReportAt.values().stream()
+                        .filter(at -> now - at <= REPORT_TIMEOUT.toNanos())
+                        .count();
+        return (double) near / lastReportAt.size();
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/BackpressureProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/BackpressureProperties.java
@@ -12,7 +12,7 @@
 import io.stackhall.core.id.UpstreamId;
 import io.stackhall.core.id.ZoneId;
 import io.stackhall.core.limit.LimitRevision;
-import io.stackhall.core.limit.LimitWord;
+import io.stackhall.core.limit.LimitUpdate;
 import io.stackhall.core.limit.LimitedUpstreams;
 import java.time.Duration;
 import java.util.HashMap;
@@ -97,7 +97,7 @@
         private void limit(UpstreamId id) {
             boolean names = random.nextBoolean();
             OptionalDouble figure = names ? OptionalDouble.of(0.5) : OptionalDouble.empty();
-            if (limits.told(new LimitWord(id, figure, false, new LimitRevision(1, ++words)))) {
+            if (limits.receive(new LimitUpdate(id, figure, false, new LimitRevision(1, ++words)))) {
                 limited.remove(id);
                 if (names) {
                     limited.add(id);
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/LimitedDispatchTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/LimitedDispatchTest.java
@@ -11,11 +11,11 @@
 import io.stackhall.core.id.UpstreamId;
 import io.stackhall.core.id.ZoneId;
 import io.stackhall.core.limit.LimitRevision;
-import io.stackhall.core.limit.LimitWord;
+import io.stackhall.core.limit.LimitUpdate;
 import io.stackhall.core.limit.LimitedUpstreams;
 import io.stackhall.core.limit.PermitAnswer;
+import io.stackhall.core.limit.PermitRequest;
 import io.stackhall.core.limit.PermitWaits;
-import io.stackhall.core.limit.PermitWant;
 import io.stackhall.core.route.EngineSpec;
 import io.stackhall.core.route.ModelWeights;
 import java.time.Duration;
@@ -61,7 +61,8 @@
                 new EngineSpec(4, 1000, 300, 2, 1, 200, 600, EngineSpec.byName(List.of(weights)));
         dispatcher.engines(Map.of(SERVICE, spec));
         dispatcher.changed(instance("a", 1, "m"));
-        limits.told(new LimitWord(LIMITED, OptionalDouble.of(1), false, new LimitRevision(1, 1)));
+        limits.receive(
+                new LimitUpdate(LIMITED, OptionalDouble.of(1), false, new LimitRevision(1, 1)));
     }
 
     @Test
@@ -69,7 +70,9 @@
         dispatcher.changed(instance("bb", 1, "m"));
         assertThat(choice())
                 .isInstanceOfSatisfying(Choice.Send.class, LimitedDispatchTest::sparesIt);
-        assertThat(limits.wants(NOW)).extracting(PermitWant::spare).containsExactly(true);
+        assertThat(limits.dueRequests(NOW))
+                .extracting(PermitRequest::optional)
+                .containsExactly(true);
     }
 
     private static void sparesIt(Choice.Send sent) {
@@ -81,10 +84,11 @@
         dispatcher.changed(instance("bb", 1, "other"));
         Choice choice = choice();
         assertThat(choice).isInstanceOf(Choice.Limited.class);
-        PermitWant want = limits.wants(NOW).getFirst();
-        assertThat(want.alone()).isEqualTo(1);
-        limits.answered(
-                new PermitAnswer(HOST, LIMITED, want.askedAt(), true, PermitWaits.unknown()), NOW);
+        PermitRequest want = limits.dueRequests(NOW).getFirst();
+        assertThat(want.exclusive()).isEqualTo(1);
+        limits.receiveAnswer(
+                new PermitAnswer(HOST, LIMITED, want.requestedAt(), true, PermitWaits.unknown()),
+                NOW);
         assertThat(choice()).isInstanceOf(Choice.Send.class);
         dispatcher.began(LIMITED, NEED, NOW);
         assertThat(choice()).isInstanceOf(Choice.Limited.class);
@@ -153,10 +157,11 @@
     }
 
     private void tell(Duration first) {
-        PermitWant want = limits.wants(NOW).getFirst();
+        PermitRequest want = limits.dueRequests(NOW).getFirst();
         PermitWaits waits =
                 new PermitWaits(List.of(first), first.plusSeconds(1), Duration.ofSeconds(1));
-        limits.answered(new PermitAnswer(HOST, LIMITED, want.askedAt(), false, waits), NOW);
+        limits.receiveAnswer(
+                new PermitAnswer(HOST, LIMITED, want.requestedAt(), false, waits), NOW);
     }
 
     private Choice choice() {
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/Moments.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/EventTimes.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /** When requests came, in order, in nanoseconds of a play. */
-final class Moments {
+final class EventTimes {
 
     private static final long WINDOW = Duration.ofSeconds(4).toNanos();
 
-    private final List<Long> all = new ArrayList<>();
+    private final List<Long> times = new ArrayList<>();
 
     void add(long moment) {
-        all.add(moment);
+        times.add(moment);
     }
 
     /** Returns how many came after a moment and before another. */
@@ -35,6 +35,6 @@
     }
 
     private List<Long> between(Duration from, Duration to) {
-        return all.stream().filter(at -> at >= from.toNanos() && at < to.toNanos()).toList();
+        return times.stream().filter(at -> at >= from.toNanos() && at < to.toNanos()).toList();
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/LimitKeeperProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/LimitManagerProperties.java
@@ -11,14 +11,14 @@
 import net.jqwik.api.constraints.IntRange;
 
 /** A limit that is named while hosts and keepers are cut off, frozen, restarted and replaced. */
-class LimitKeeperProperties {
+class LimitManagerProperties {
 
-    private static final Duration NAMED = Duration.ofSeconds(2);
-    private static final Duration KEPT = Duration.ofSeconds(3);
+    private static final Duration LIMIT_FROM = Duration.ofSeconds(2);
+    private static final Duration CHECKED_FROM = Duration.ofSeconds(3);
     private static final Duration END = Duration.ofSeconds(20);
 
     @Property(tries = 150)
-    void limitIsKeptWhateverHappensToHostsAndKeepers(
+    void limitIsKeptWhenHostsAndControlHostsFail(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 40) int hosts,
             @ForAll @DoubleRange(min = 0.2, max = 20) double limit,
@@ -27,34 +27,34 @@
             @ForAll @IntRange(min = 0, max = 9000) int cutFor,
             @ForAll @IntRange(min = 3000, max = 15000) int frozenAt,
             @ForAll @IntRange(min = 300, max = 4000) int leaderLostFor) {
-        LimitPlay play =
-                new LimitPlay(seed, hosts)
-                        .names(NAMED, OptionalDouble.of(limit))
+        LimitSimulation play =
+                new LimitSimulation(seed, hosts)
+                        .limitFrom(LIMIT_FROM, OptionalDouble.of(limit))
                         .cut(cut, Duration.ofMillis(cutAt), Duration.ofMillis(cutFor))
                         .freeze(0.2, Duration.ofMillis(frozenAt), Duration.ofMillis(1500))
                         .restart(0.3, Duration.ofMillis(frozenAt + 2500))
                         .loseLeader(
                                 Duration.ofMillis(3000 + cutFor), Duration.ofMillis(leaderLostFor))
-                        .play(END, 4 * limit + 5);
-        assertThat(play.worstFourSeconds(KEPT, END)).isLessThanOrEqualTo(forgiven(limit));
+                        .run(END, 4 * limit + 5);
+        assertThat(play.worstFourSeconds(CHECKED_FROM, END)).isLessThanOrEqualTo(tolerated(limit));
     }
 
     @Property(tries = 100)
-    void limitsThatChangeAndEndAreHeardByAllHosts(
+    void changedAndEndedLimitsReachAllHosts(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 40) int hosts,
             @ForAll @DoubleRange(min = 2, max = 5) double first) {
-        LimitPlay play =
-                new LimitPlay(seed, hosts)
-                        .names(NAMED, OptionalDouble.of(first))
-                        .names(Duration.ofSeconds(7), OptionalDouble.of(first / 2))
-                        .names(Duration.ofSeconds(12), OptionalDouble.empty())
-                        .play(Duration.ofSeconds(24), 12);
+        LimitSimulation play =
+                new LimitSimulation(seed, hosts)
+                        .limitFrom(LIMIT_FROM, OptionalDouble.of(first))
+                        .limitFrom(Duration.ofSeconds(7), OptionalDouble.of(first / 2))
+                        .limitFrom(Duration.ofSeconds(12), OptionalDouble.empty())
+                        .run(Duration.ofSeconds(24), 12);
         assertThat(play.worstFourSeconds(Duration.ofSeconds(8), Duration.ofSeconds(12)))
-                .isLessThanOrEqualTo(forgiven(first / 2));
+                .isLessThanOrEqualTo(tolerated(first / 2));
         assertThat(play.worstFourSeconds(Duration.ofSeconds(12), Duration.ofSeconds(14)))
                 .as("no return of all at once")
-                .isLessThanOrEqualTo(forgiven(2 * first));
+                .isLessThanOrEqualTo(tolerated(2 * first));
         Duration from = Duration.ofSeconds(20);
         Duration to = Duration.ofSeconds(24);
         assertThat(play.arrived(from, to))
@@ -64,12 +64,12 @@
 
     /** A seed that draws 29 requests in the last four seconds, where 48 are to be expected. */
     @Example
-    void limitThatEndsIsHeardByAllHostsWhenFewRequestsCome() {
-        limitsThatChangeAndEndAreHeardByAllHosts(-15, 1, 2.0);
+    void endedLimitReachesAllHostsWithFewRequests() {
+        changedAndEndedLimitsReachAllHosts(-15, 1, 2.0);
     }
 
     /** What an upstream forgives in any four seconds. */
-    private static int forgiven(double limit) {
+    private static int tolerated(double limit) {
         return (int) (1.5 * 4 * limit) + 5;
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/LimitKeeperReplayTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/LimitManagerReplayTest.java
@@ -7,37 +7,37 @@
 import org.junit.jupiter.api.Test;
 
 /** Requests that only an upstream with a limit can serve, at 3 to 95 hosts. */
-class LimitKeeperReplayTest {
+class LimitManagerReplayTest {
 
     private static final int[] HOSTS = {3, 9, 30, 95};
     private static final double[] LIMITS = {0.5, 1, 5, 50};
     private static final int SEEDS = 5;
-    private static final Duration NAMED = Duration.ofSeconds(2);
-    private static final Duration KEPT = Duration.ofSeconds(3);
+    private static final Duration LIMIT_FROM = Duration.ofSeconds(2);
+    private static final Duration CHECKED_FROM = Duration.ofSeconds(3);
     private static final Duration END = Duration.ofSeconds(23);
 
     /** What an upstream has to get of its limit while enough wait for it alone. */
-    private static final double USED_GOAL = 0.7;
+    private static final double MIN_UTILIZATION = 0.7;
 
     @Test
     void limitIsKeptAndUsedByAllHostsTogether() {
         for (int hosts : HOSTS) {
             for (double limit : LIMITS) {
                 for (long seed = 0; seed < SEEDS; seed++) {
-                    LimitPlay play = play(seed, hosts, limit).play(END, 3 * limit + 2);
-                    assertThat(play.worstFourSeconds(KEPT, END))
+                    LimitSimulation play = simulation(seed, hosts, limit).run(END, 3 * limit + 2);
+                    assertThat(play.worstFourSeconds(CHECKED_FROM, END))
                             .as("%d hosts, %s a second, seed %d", hosts, limit, seed)
                             .isLessThanOrEqualTo(bound(limit));
-                    assertThat(play.perSecond(KEPT.plusSeconds(3), END))
+                    assertThat(play.perSecond(CHECKED_FROM.plusSeconds(3), END))
                             .as("%d hosts, %s a second, seed %d", hosts, limit, seed)
-                            .isGreaterThanOrEqualTo(USED_GOAL * limit);
+                            .isGreaterThanOrEqualTo(MIN_UTILIZATION * limit);
                 }
             }
         }
     }
 
-    private static LimitPlay play(long seed, int hosts, double limit) {
-        return new LimitPlay(seed, hosts).names(NAMED, OptionalDouble.of(limit));
+    private static LimitSimulation simulation(long seed, int hosts, double limit) {
+        return new LimitSimulation(seed, hosts).limitFrom(LIMIT_FROM, OptionalDouble.of(limit));
     }
 
     /** The limit itself in four seconds, and what may be granted together. */
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/LimitPlay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/LimitSimulation.java
@@ -16,35 +16,35 @@
  * can serve come at random hosts, words take some milliseconds, and hosts or keepers may be cut
  * off, frozen or replaced.
  */
-final class LimitPlay {
+final class LimitSimulation {
 
     static final UpstreamId UPSTREAM = new UpstreamId("i-1");
 
     private static final long MILLI = 1_000_000;
-    private static final long LOOK = 25 * MILLI;
-    private static final long REPORT = 1000 * MILLI;
-    private static final long KEEPER_TICK = 20 * MILLI;
+    private static final long HOST_TICK = 25 * MILLI;
+    private static final long REPORT_INTERVAL = 1000 * MILLI;
+    private static final long MANAGER_TICK = 20 * MILLI;
 
     /** The caller of a request waits so long. */
-    private static final Duration USUAL_PATIENCE = Duration.ofSeconds(4);
+    private static final Duration DEFAULT_CALLER_TIMEOUT = Duration.ofSeconds(4);
 
     private final Random random;
     private final List<Host> hosts = new ArrayList<>();
-    private final List<Keeper> keepers = new ArrayList<>();
+    private final List<ControlHost> controlHosts = new ArrayList<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
                     Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
-    private final Moments requests = new Moments();
-    private final Moments arrivals = new Moments();
-    private OptionalDouble named = OptionalDouble.empty();
+    private final EventTimes requests = new EventTimes();
+    private final EventTimes arrivals = new EventTimes();
+    private OptionalDouble upstreamLimit = OptionalDouble.empty();
     private long order;
     private long now;
     private long frames;
-    private long patience = USUAL_PATIENCE.toNanos();
+    private long callerTimeout = DEFAULT_CALLER_TIMEOUT.toNanos();
     private long served;
-    private long waitedWell;
+    private long servedWaitNanos;
     private long refused;
-    private long waitedInVain;
+    private long refusedWaitNanos;
 
     private record Event(long at, long order, Runnable run) {}
 
@@ -64,33 +64,33 @@
         void start() {
             waiting.clear();
             limits = new LimitedUpstreams(id, new Random(random.nextLong()));
-            limits.shared(hosts.isEmpty() ? 10 : hosts.size());
+            limits.setHostCount(hosts.isEmpty() ? 10 : hosts.size());
         }
 
-        void look() {
+        void tick() {
             if (!frozen) {
                 serve();
-                tell();
+                sendDueMessages();
             }
         }
 
         void serve() {
-            waiting.removeIf(this::outOfTime);
+            waiting.removeIf(this::refuseIfExpired);
             while (!waiting.isEmpty() && limits.allows(UPSTREAM, now)) {
                 served++;
-                waitedWell += now - (waiting.removeFirst() - patience);
+                servedWaitNanos += now - (waiting.removeFirst() - callerTimeout);
                 send();
             }
-            limits.recount();
+            limits.resetWaiting();
             for (int ahead = 0; ahead < waiting.size(); ahead++) {
-                Duration expected = limits.await(UPSTREAM, now).behind(ahead);
+                Duration expected = limits.awaitPermit(UPSTREAM, now).waitBehind(ahead);
                 if (now + expected.toNanos() - waiting.get(ahead) > 0) {
                     refuse(waiting.remove(ahead--));
                 }
             }
         }
 
-        private boolean outOfTime(long until) {
+        private boolean refuseIfExpired(long until) {
             boolean over = now - until >= 0;
             if (over) {
                 refuse(until);
@@ -100,7 +100,7 @@
 
         private void refuse(long until) {
             refused++;
-            waitedInVain += now - (until - patience);
+            refusedWaitNanos += now - (until - callerTimeout);
         }
 
         void send() {
@@ -110,7 +110,7 @@
                     2,
                     () -> {
                         arrivals.add(now);
-                        OptionalDouble said = named;
+                        OptionalDouble said = upstreamLimit;
                         in(20, () -> answered(said, basis));
                     });
         }
@@ -120,29 +120,30 @@
                 in(20, () -> answered(said, basis));
                 return;
             }
-            limits.named(UPSTREAM, said, basis, now)
-                    .ifPresent(heard -> toKeepers(keeper -> keeper.heard(heard)));
+            limits.observe(UPSTREAM, said, basis, now)
+                    .ifPresent(heard -> toControlHosts(keeper -> keeper.observe(heard)));
         }
 
-        void tell() {
-            for (PermitWant want : limits.wants(now)) {
-                LimitWord known = limits.word(UPSTREAM);
-                toKeepers(keeper -> keeper.wanted(want, known));
+        void sendDueMessages() {
+            for (PermitRequest want : limits.dueRequests(now)) {
+                LimitUpdate known = limits.latestUpdate(UPSTREAM);
+                toControlHosts(keeper -> keeper.request(want, known));
             }
-            limits.unconfirmed(now).forEach(heard -> toKeepers(keeper -> keeper.heard(heard)));
+            limits.dueObservations(now)
+                    .forEach(heard -> toControlHosts(keeper -> keeper.observe(heard)));
         }
 
         void report() {
             if (!frozen) {
-                toKeepers(keeper -> keeper.reported(id));
+                toControlHosts(keeper -> keeper.hostReported(id));
             }
         }
 
-        private void toKeepers(Consumer<Keeper> message) {
-            for (Keeper keeper : keepers) {
+        private void toControlHosts(Consumer<ControlHost> message) {
+            for (ControlHost keeper : controlHosts) {
                 if (!cut) {
                     frames++;
-                    in(delay(), () -> keeper.take(message));
+                    in(delay(), () -> keeper.receive(message));
                 }
             }
         }
@@ -157,17 +158,17 @@
             }
             message.run();
             serve();
-            tell();
+            sendDueMessages();
         }
     }
 
     /** One control host. */
-    private final class Keeper {
-        private final LimitKeeper keeper = new LimitKeeper();
+    private final class ControlHost {
+        private final LimitManager manager = new LimitManager();
         private boolean leads;
         private boolean down;
 
-        void take(Consumer<Keeper> message) {
+        void receive(Consumer<ControlHost> message) {
             if (!down) {
                 message.accept(this);
             }
@@ -175,38 +176,38 @@
 
         void lead(long term) {
             leads = true;
-            keeper.lead(term, now);
+            manager.lead(term, now);
         }
 
-        void reported(HostId host) {
-            keeper.reported(host, now);
+        void hostReported(HostId host) {
+            manager.hostReported(host, now);
         }
 
-        void heard(HeardLimit heard) {
+        void observe(LimitObservation heard) {
             if (leads) {
-                tell(keeper.heard(heard, now));
+                publish(manager.observe(heard, now));
             }
         }
 
-        void wanted(PermitWant want, LimitWord known) {
+        void request(PermitRequest want, LimitUpdate known) {
             if (leads) {
-                keeper.told(known);
-                answer(keeper.wanted(want, now));
+                manager.receive(known);
+                answer(manager.request(want, now));
             }
         }
 
         void tick() {
             if (leads && !down) {
-                LimitKeeper.Step step = keeper.step(now);
-                tell(step.words());
+                LimitManager.Decisions step = manager.advance(now);
+                publish(step.updates());
                 answer(step.answers());
             }
         }
 
-        private void tell(List<LimitWord> words) {
-            for (LimitWord word : words) {
-                hosts.forEach(host -> send(host, () -> host.limits.told(word)));
-                keepers.forEach(other -> in(delay(), () -> other.keeper.told(word)));
+        private void publish(List<LimitUpdate> words) {
+            for (LimitUpdate word : words) {
+                hosts.forEach(host -> send(host, () -> host.limits.receive(word)));
+                controlHosts.forEach(other -> in(delay(), () -> other.manager.receive(word)));
             }
         }
 
@@ -214,7 +215,7 @@
             for (PermitAnswer answer : answers) {
                 hosts.stream()
                         .filter(host -> host.id.equals(answer.host()))
-                        .forEach(host -> send(host, () -> host.limits.answered(answer, now)));
+                        .forEach(host -> send(host, () -> host.limits.receiveAnswer(answer, now)));
             }
         }
 
@@ -226,21 +227,21 @@
         }
     }
 
-    LimitPlay(long seed, int hostCount) {
+    LimitSimulation(long seed, int hostCount) {
         random = new Random(seed);
         for (int number = 0; number < hostCount; number++) {
             hosts.add(new Host(number));
         }
         for (int number = 0; number < 3; number++) {
-            keepers.add(new Keeper());
+            controlHosts.add(new ControlHost());
         }
-        keepers.getFirst().lead(1);
+        controlHosts.getFirst().lead(1);
         for (Host host : hosts) {
-            host.limits.shared(hostCount);
-            every(LOOK, host::look);
-            every(REPORT, host::report);
+            host.limits.setHostCount(hostCount);
+            every(HOST_TICK, host::tick);
+            every(REPORT_INTERVAL, host::report);
         }
-        keepers.forEach(keeper -> every(KEEPER_TICK, keeper::tick));
+        controlHosts.forEach(keeper -> every(MANAGER_TICK, keeper::tick));
     }
 
     private void every(long period, Runnable task) {
@@ -275,24 +276,24 @@
     }
 
     /** Names a limit from a moment on; nothing ends it. */
-    LimitPlay names(Duration at, OptionalDouble limit) {
-        return at(at, () -> named = limit);
+    LimitSimulation limitFrom(Duration at, OptionalDouble limit) {
+        return at(at, () -> upstreamLimit = limit);
     }
 
-    LimitPlay at(Duration at, Runnable run) {
+    LimitSimulation at(Duration at, Runnable run) {
         events.add(new Event(at.toNanos(), order++, run));
         return this;
     }
 
     /** Cuts a share of the hosts off from all keepers for a time. */
-    LimitPlay cut(double share, Duration at, Duration time) {
+    LimitSimulation cut(double share, Duration at, Duration time) {
         int count = (int) (share * hosts.size());
         at(at, () -> hosts.subList(0, count).forEach(host -> host.cut = true));
         return at(at.plus(time), () -> hosts.subList(0, count).forEach(host -> host.cut = false));
     }
 
     /** Freezes a share of the hosts for a time. */
-    LimitPlay freeze(double share, Duration at, Duration time) {
+    LimitSimulation freeze(double share, Duration at, Duration time) {
         int count = (int) Math.ceil(share * hosts.size());
         at(at, () -> hosts.subList(0, count).forEach(host -> host.frozen = true));
         return at(
@@ -300,30 +301,30 @@
     }
 
     /** Starts a share of the hosts anew. */
-    LimitPlay restart(double share, Duration at) {
+    LimitSimulation restart(double share, Duration at) {
         int count = (int) Math.ceil(share * hosts.size());
-        return at(at, () -> hosts.subList(0, count).forEach(this::restarted));
+        return at(at, () -> hosts.subList(0, count).forEach(this::restartHost));
     }
 
-    private void restarted(Host host) {
+    private void restartHost(Host host) {
         host.start();
-        host.limits.shared(hosts.size());
-        keepers.getFirst().keeper.table().all().forEach(word -> host.limits.told(word));
+        host.limits.setHostCount(hosts.size());
+        controlHosts.getFirst().manager.table().all().forEach(word -> host.limits.receive(word));
     }
 
     /** Ends a leader; the next one begins after a time, with what it was told. */
-    LimitPlay loseLeader(Duration at, Duration time) {
+    LimitSimulation loseLeader(Duration at, Duration time) {
         at(
                 at,
                 () -> {
-                    keepers.getFirst().down = true;
-                    keepers.getFirst().leads = false;
+                    controlHosts.getFirst().down = true;
+                    controlHosts.getFirst().leads = false;
                 });
-        return at(at.plus(time), () -> keepers.get(1).lead(2));
+        return at(at.plus(time), () -> controlHosts.get(1).lead(2));
     }
 
     /** Plays requests that come at a rate and only the upstream can serve. */
-    LimitPlay play(Duration length, double perSecond) {
+    LimitSimulation run(Duration length, double perSecond) {
         long next = 0;
         while (next < length.toNanos()) {
             long at = next;
@@ -344,9 +345,9 @@
             return;
         }
         requests.add(now);
-        host.waiting.add(now + patience);
+        host.waiting.add(now + callerTimeout);
         host.serve();
-        host.tell();
+        host.sendDueMessages();
     }
 
     /** Returns the most requests that came in four seconds, after a moment and before another. */
@@ -374,18 +375,18 @@
     }
 
     /** Lets requests wait for so long, and no longer. */
-    LimitPlay patience(Duration longest) {
-        patience = longest.toNanos();
+    LimitSimulation callerTimeout(Duration longest) {
+        callerTimeout = longest.toNanos();
         return this;
     }
 
     /** Returns how long a request that was sent had waited, in the mean. */
     Duration meanWait() {
-        return Duration.ofNanos(waitedWell / Math.max(1, served));
+        return Duration.ofNanos(servedWaitNanos / Math.max(1, served));
     }
 
     /** Returns how long a request that was refused had waited, in the mean. */
-    Duration meanWaitInVain() {
-        return Duration.ofNanos(waitedInVain / Math.max(1, refused));
+    Duration meanWaitOfRefused() {
+        return Duration.ofNanos(refusedWaitNanos / Math.max(1, refused));
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/LimitWaysTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/LimitStrategiesTest.java
@@ -14,7 +14,7 @@
  * times as often: a place in the leader's queue for each, asking the leader again and again, and a
  * fixed share of each host.
  */
-class LimitWaysTest {
+class LimitStrategiesTest {
 
     private static final int HOSTS = 9;
     private static final int SEEDS = 20;
@@ -24,7 +24,7 @@
     private static final Duration END = Duration.ofSeconds(66);
 
     private static final double WELL_USED = 0.95;
-    private static final Duration OBJECTIVE = Duration.ofMillis(800);
+    private static final Duration LATENCY_OBJECTIVE = Duration.ofMillis(800);
 
     /**
      * How a way did in the mean.
@@ -32,54 +32,55 @@
      * @param used the part of the limit that was used
      * @param waitedMillis how long a request that was refused had waited
      */
-    private record Outcome(double used, double waitedMillis) {}
+    private record Outcome(double used, double refusedWaitMillis) {}
 
     @Test
-    void placesInAQueueUseTheLimitAndLetHardlyAnybodyWaitInVain() {
-        Outcome queue = mean(LimitWaysTest::queue);
-        Outcome asking = mean(LimitWaysTest::askingAgain);
-        Outcome shares = mean(LimitWaysTest::shares);
+    void queueUsesTheLimitAndRefusesSoonest() {
+        Outcome queue = mean(LimitStrategiesTest::queue);
+        Outcome asking = mean(LimitStrategiesTest::retrying);
+        Outcome shares = mean(LimitStrategiesTest::fixedShares);
         assertThat(queue.used()).isGreaterThan(WELL_USED);
         assertThat(shares.used()).isLessThan(WELL_USED);
-        assertThat(queue.waitedMillis()).isLessThan(asking.waitedMillis() / 2);
-        assertThat(asking.waitedMillis()).isLessThan(shares.waitedMillis());
+        assertThat(queue.refusedWaitMillis()).isLessThan(asking.refusedWaitMillis() / 2);
+        assertThat(asking.refusedWaitMillis()).isLessThan(shares.refusedWaitMillis());
     }
 
     /** Those who wait beyond their objective only make all others late as well. */
     @Test
     void shortQueueServesAsManyRequestsSooner() {
-        LimitPlay longer = play(0).play(END, DEMAND);
-        LimitPlay shorter = play(0).patience(OBJECTIVE).play(END, DEMAND);
+        LimitSimulation longer = simulation(0).run(END, DEMAND);
+        LimitSimulation shorter = simulation(0).callerTimeout(LATENCY_OBJECTIVE).run(END, DEMAND);
         assertThat(shorter.arrived(FROM, END))
                 .isGreaterThanOrEqualTo((long) (WELL_USED * longer.arrived(FROM, END)));
-        assertThat(longer.meanWait()).isGreaterThan(OBJECTIVE);
-        assertThat(shorter.meanWait()).isLessThan(OBJECTIVE.dividedBy(2));
+        assertThat(longer.meanWait()).isGreaterThan(LATENCY_OBJECTIVE);
+        assertThat(shorter.meanWait()).isLessThan(LATENCY_OBJECTIVE.dividedBy(2));
     }
 
     private static Outcome queue(long seed) {
-        LimitPlay play = play(seed).play(END, DEMAND);
-        return new Outcome(play.perSecond(FROM, END) / LIMIT, play.meanWaitInVain().toMillis());
+        LimitSimulation play = simulation(seed).run(END, DEMAND);
+        return new Outcome(play.perSecond(FROM, END) / LIMIT, play.meanWaitOfRefused().toMillis());
     }
 
-    private static Outcome askingAgain(long seed) {
-        AskAgainPlay play = new AskAgainPlay(seed, LIMIT).play(END, DEMAND);
-        return new Outcome(play.perSecond(FROM, END) / LIMIT, play.meanWaitInVain().toMillis());
+    private static Outcome retrying(long seed) {
+        RetryingHostsSimulation play = new RetryingHostsSimulation(seed, LIMIT).run(END, DEMAND);
+        return new Outcome(play.perSecond(FROM, END) / LIMIT, play.meanWaitOfRefused().toMillis());
     }
 
     /** What hosts do that no leader answers. */
-    private static Outcome shares(long seed) {
-        LimitPlay play = play(seed).cut(1, Duration.ofSeconds(3), END).play(END, DEMAND);
-        return new Outcome(play.perSecond(FROM, END) / LIMIT, play.meanWaitInVain().toMillis());
+    private static Outcome fixedShares(long seed) {
+        LimitSimulation play = simulation(seed).cut(1, Duration.ofSeconds(3), END).run(END, DEMAND);
+        return new Outcome(play.perSecond(FROM, END) / LIMIT, play.meanWaitOfRefused().toMillis());
     }
 
     private static Outcome mean(LongFunction<Outcome> way) {
         List<Outcome> all = LongStream.range(0, SEEDS).mapToObj(way).toList();
         return new Outcome(
                 all.stream().mapToDouble(Outcome::used).average().orElseThrow(),
-                all.stream().mapToDouble(Outcome::waitedMillis).average().orElseThrow());
+                all.stream().mapToDouble(Outcome::refusedWaitMillis).average().orElseThrow());
     }
 
-    private static LimitPlay play(long seed) {
-        return new LimitPlay(seed, HOSTS).names(Duration.ofSeconds(2), OptionalDouble.of(LIMIT));
+    private static LimitSimulation simulation(long seed) {
+        return new LimitSimulation(seed, HOSTS)
+                .limitFrom(Duration.ofSeconds(2), OptionalDouble.of(LIMIT));
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/LimitedUpstreamsTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/LimitedUpstreamsTest.java
@@ -23,92 +23,94 @@
     private long now = 1_000_000 * MILLI;
 
     @Test
-    void limitIsObeyedAtOnceAndToldUntilAKeeperSaysSo() {
+    void limitIsAppliedAtOnceAndReportedUntilConfirmed() {
         assertThat(limits.allows(UPSTREAM, now)).isTrue();
         assertThat(named(2, LimitRevision.none())).isTrue();
         assertThat(limits.allows(UPSTREAM, now)).isFalse();
         assertThat(named(2, LimitRevision.none())).as("told once").isFalse();
         now += 400 * MILLI;
-        assertThat(limits.unconfirmed(now)).hasSize(1);
-        limits.told(word(OptionalDouble.of(2), FIRST));
+        assertThat(limits.dueObservations(now)).hasSize(1);
+        limits.receive(update(OptionalDouble.of(2), FIRST));
         now += 400 * MILLI;
-        assertThat(limits.unconfirmed(now)).isEmpty();
+        assertThat(limits.dueObservations(now)).isEmpty();
         assertThat(limits.allows(UPSTREAM, now)).isFalse();
     }
 
     @Test
-    void answerWithoutLimitToARequestFromBeforeEndsNothing() {
-        limits.told(word(OptionalDouble.of(2), FIRST));
-        assertThat(limits.named(UPSTREAM, OptionalDouble.empty(), LimitRevision.none(), now))
+    void answerToARequestFromBeforeTheLimitDoesNotEndIt() {
+        limits.receive(update(OptionalDouble.of(2), FIRST));
+        assertThat(limits.observe(UPSTREAM, OptionalDouble.empty(), LimitRevision.none(), now))
                 .isEmpty();
-        assertThat(limits.named(UPSTREAM, OptionalDouble.empty(), FIRST, now)).isPresent();
+        assertThat(limits.observe(UPSTREAM, OptionalDouble.empty(), FIRST, now)).isPresent();
         assertThat(limits.allows(UPSTREAM, now)).as("until the keeper says so").isFalse();
-        limits.told(word(OptionalDouble.empty(), SECOND));
+        limits.receive(update(OptionalDouble.empty(), SECOND));
         assertThat(limits.allows(UPSTREAM, now)).isTrue();
     }
 
     @Test
-    void earlierWordThatComesLateChangesNothing() {
-        limits.told(word(OptionalDouble.empty(), SECOND));
-        assertThat(limits.told(word(OptionalDouble.of(2), FIRST))).isFalse();
+    void lateUpdateWithAnOlderRevisionIsIgnored() {
+        limits.receive(update(OptionalDouble.empty(), SECOND));
+        assertThat(limits.receive(update(OptionalDouble.of(2), FIRST))).isFalse();
         assertThat(limits.allows(UPSTREAM, now)).isTrue();
     }
 
     @Test
-    void permitLetsOneRequestGo() {
-        limits.told(word(OptionalDouble.of(2), FIRST));
-        limits.await(UPSTREAM, now);
-        limits.await(UPSTREAM, now);
-        PermitWant want = limits.wants(now).getFirst();
-        assertThat(want.alone()).isEqualTo(2);
-        assertThat(limits.answered(granted(want.askedAt()), now)).isTrue();
+    void permitAllowsOneRequest() {
+        limits.receive(update(OptionalDouble.of(2), FIRST));
+        limits.awaitPermit(UPSTREAM, now);
+        limits.awaitPermit(UPSTREAM, now);
+        PermitRequest want = limits.dueRequests(now).getFirst();
+        assertThat(want.exclusive()).isEqualTo(2);
+        assertThat(limits.receiveAnswer(granted(want.requestedAt()), now)).isTrue();
         assertThat(limits.allows(UPSTREAM, now)).isTrue();
         limits.sent(UPSTREAM, now);
         assertThat(limits.allows(UPSTREAM, now)).isFalse();
     }
 
     @Test
-    void permitThatWasAskedForLongAgoIsGivenBack() {
-        limits.told(word(OptionalDouble.of(2), FIRST));
-        limits.await(UPSTREAM, now);
-        PermitWant want = limits.wants(now).getFirst();
+    void expiredPermitIsReturned() {
+        limits.receive(update(OptionalDouble.of(2), FIRST));
+        limits.awaitPermit(UPSTREAM, now);
+        PermitRequest want = limits.dueRequests(now).getFirst();
         now += 1500 * MILLI;
-        assertThat(limits.answered(granted(want.askedAt()), now)).as("frozen meanwhile").isFalse();
+        assertThat(limits.receiveAnswer(granted(want.requestedAt()), now))
+                .as("frozen meanwhile")
+                .isFalse();
         assertThat(limits.allows(UPSTREAM, now)).isFalse();
-        assertThat(limits.wants(now).getFirst().returned()).isEqualTo(1);
+        assertThat(limits.dueRequests(now).getFirst().returned()).isEqualTo(1);
     }
 
     @Test
-    void requestThatOthersServeAsksAgainWhetherALimitedUpstreamMayBeUsed() {
-        limits.told(word(OptionalDouble.of(2), FIRST));
+    void optionalPermitIsRequestedRepeatedly() {
+        limits.receive(update(OptionalDouble.of(2), FIRST));
         for (int time = 0; time < 3; time++) {
-            assertThat(limits.spareDue(UPSTREAM, now)).isTrue();
-            limits.spare(UPSTREAM, now);
-            assertThat(limits.wants(now).getFirst().spare()).isTrue();
-            assertThat(limits.wants(now)).isEmpty();
+            assertThat(limits.optionalRequestDue(UPSTREAM, now)).isTrue();
+            limits.requestOptionalPermit(UPSTREAM, now);
+            assertThat(limits.dueRequests(now).getFirst().optional()).isTrue();
+            assertThat(limits.dueRequests(now)).isEmpty();
             now += 600 * MILLI;
         }
     }
 
     @Test
-    void requestsThatWaitNoMoreGiveUpTheirPlaces() {
-        limits.told(word(OptionalDouble.of(2), FIRST));
-        limits.await(UPSTREAM, now);
-        assertThat(limits.wants(now)).hasSize(1);
+    void requestsThatNoLongerWaitLeaveTheQueue() {
+        limits.receive(update(OptionalDouble.of(2), FIRST));
+        limits.awaitPermit(UPSTREAM, now);
+        assertThat(limits.dueRequests(now)).hasSize(1);
         now += 200 * MILLI;
-        assertThat(limits.wants(now).getFirst().alone()).isZero();
-        assertThat(limits.wants(now)).isEmpty();
+        assertThat(limits.dueRequests(now).getFirst().exclusive()).isZero();
+        assertThat(limits.dueRequests(now)).isEmpty();
     }
 
     @Test
-    void hostThatNobodyAnswersSendsItsShare() {
-        limits.shared(4);
-        limits.told(word(OptionalDouble.of(2), FIRST));
+    void hostWithoutAnswersSendsItsShare() {
+        limits.setHostCount(4);
+        limits.receive(update(OptionalDouble.of(2), FIRST));
         int sent = 0;
         long end = now + Duration.ofSeconds(22).toNanos();
         while (now - end < 0) {
-            limits.await(UPSTREAM, now);
-            limits.wants(now);
+            limits.awaitPermit(UPSTREAM, now);
+            limits.dueRequests(now);
             if (limits.allows(UPSTREAM, now)) {
                 limits.sent(UPSTREAM, now);
                 sent++;
@@ -119,17 +121,17 @@
     }
 
     @Test
-    void laterLifeHasNoLimitUntilItNamesOne() {
-        limits.told(word(OptionalDouble.of(2), FIRST));
+    void newIncarnationHasNoLimitUntilItNamesOne() {
+        limits.receive(update(OptionalDouble.of(2), FIRST));
         assertThat(limits.allows(new UpstreamId("i-1", 5), now)).isTrue();
     }
 
     private boolean named(double perSecond, LimitRevision basis) {
-        return limits.named(UPSTREAM, OptionalDouble.of(perSecond), basis, now).isPresent();
+        return limits.observe(UPSTREAM, OptionalDouble.of(perSecond), basis, now).isPresent();
     }
 
-    private static LimitWord word(OptionalDouble perSecond, LimitRevision revision) {
-        return new LimitWord(UPSTREAM, perSecond, false, revision);
+    private static LimitUpdate update(OptionalDouble perSecond, LimitRevision revision) {
+        return new LimitUpdate(UPSTREAM, perSecond, false, revision);
     }
 
     private static PermitAnswer granted(long askedAt) {
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/AskAgainPlay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/RetryingHostsSimulation.java
@@ -20,7 +20,7 @@
  * Another way to keep a limit, for comparison: each request asks the leader, as for a customer's
  * allowance, and asks again at the time that it is told.
  */
-final class AskAgainPlay {
+final class RetryingHostsSimulation {
 
     private static final CustomerId ID = new CustomerId("upstream");
     private static final long PATIENCE = Duration.ofSeconds(4).toNanos();
@@ -28,14 +28,15 @@
 
     private final Random random;
     private final AllowanceKeeper keeper = new AllowanceKeeper();
-    private final PriorityQueue<Ask> asks = new PriorityQueue<>(Comparator.comparingLong(Ask::at));
+    private final PriorityQueue<Attempt> attempts =
+            new PriorityQueue<>(Comparator.comparingLong(Attempt::at));
     private final List<Long> arrivals = new ArrayList<>();
     private long refused;
-    private long waitedInVain;
+    private long refusedWaitNanos;
 
-    private record Ask(long at, long arrivedAt) {}
+    private record Attempt(long at, long arrivedAt) {}
 
-    AskAgainPlay(long seed, double limit) {
+    RetryingHostsSimulation(long seed, double limit) {
         random = new Random(seed);
         CustomerLimit rate = new CustomerLimit(CustomerLimit.Unit.REQUESTS, limit, 1, 1);
         Customer one = new Customer(ID, Set.of(), OptionalInt.empty(), Optional.of(rate));
@@ -43,28 +44,28 @@
     }
 
     /** Plays requests that come at a rate and only the upstream can serve. */
-    AskAgainPlay play(Duration length, double perSecond) {
+    RetryingHostsSimulation run(Duration length, double perSecond) {
         long next = 0;
         while (next < length.toNanos()) {
-            asks.add(new Ask(next + DELAY, next));
+            attempts.add(new Attempt(next + DELAY, next));
             next += (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e9);
         }
-        while (!asks.isEmpty() && asks.peek().at() < length.toNanos()) {
-            ask(asks.poll());
+        while (!attempts.isEmpty() && attempts.peek().at() < length.toNanos()) {
+            attempt(attempts.poll());
         }
         return this;
     }
 
-    private void ask(Ask ask) {
+    private void attempt(Attempt ask) {
         switch (keeper.take(ID, 1, ask.at())) {
             case AllowanceVerdict.Granted() -> arrivals.add(ask.at() + 2 * DELAY);
             case AllowanceVerdict.Denied(Duration after) -> {
                 long again = ask.at() + 2 * DELAY + after.toNanos();
                 if (again - ask.arrivedAt() > PATIENCE) {
                     refused++;
-                    waitedInVain += ask.at() + DELAY - ask.arrivedAt();
+                    refusedWaitNanos += ask.at() + DELAY - ask.arrivedAt();
                 } else {
-                    asks.add(new Ask(again, ask.arrivedAt()));
+                    attempts.add(new Attempt(again, ask.arrivedAt()));
                 }
             }
         }
@@ -76,7 +77,7 @@
         return count / (to.minus(from).toMillis() / 1000.0);
     }
 
-    Duration meanWaitInVain() {
-        return Duration.ofNanos(waitedInVain / Math.max(1, refused));
+    Duration meanWaitOfRefused() {
+        return Duration.ofNanos(refusedWaitNanos / Math.max(1, refused));
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/LimitDesk.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/LimitDesk.java
@@ -4,11 +4,11 @@
 import io.stackhall.core.fleet.InstanceState;
 import io.stackhall.core.id.HostId;
 import io.stackhall.core.id.UpstreamId;
-import io.stackhall.core.limit.HeardLimit;
-import io.stackhall.core.limit.LimitKeeper;
-import io.stackhall.core.limit.LimitWord;
+import io.stackhall.core.limit.LimitManager;
+import io.stackhall.core.limit.LimitObservation;
+import io.stackhall.core.limit.LimitUpdate;
 import io.stackhall.core.limit.PermitAnswer;
-import io.stackhall.core.limit.PermitWant;
+import io.stackhall.core.limit.PermitRequest;
 import io.stackhall.rpc.generated.fleet.LimitHeard;
 import io.stackhall.rpc.generated.fleet.LimitWords;
 import io.stackhall.rpc.generated.fleet.PermitAsk;
@@ -41,14 +41,14 @@
     private final ControlGroup group;
     private final FleetKeeper fleet;
     private final HostId self;
-    private final LimitKeeper keeper = new LimitKeeper();
+    private final LimitManager keeper = new LimitManager();
     private final Map<HostId, Replier> asking = new HashMap<>();
     private boolean leading;
     private boolean granting;
 
     /** A limit in force, as an operator is told. */
     private record Listed(String upstream, double perSecond, boolean ending) {
-        static Listed of(LimitWord word) {
+        static Listed of(LimitUpdate word) {
             return new Listed(
                     word.upstream().toString(), word.perSecond().orElseThrow(), word.ending());
         }
@@ -79,12 +79,12 @@
 
     /** Takes in that an entry host has reported. */
     void followed(HostId host) {
-        keeper.reported(host, BootClock.nanos());
+        keeper.hostReported(host, BootClock.nanos());
     }
 
     /** Takes in what whoever leads says, and passes on what is news. */
     void told(LimitWords words) {
-        List<LimitWord> news = LimitCodec.words(words).stream().filter(keeper::told).toList();
+        List<LimitUpdate> news = LimitCodec.words(words).stream().filter(keeper::receive).toList();
         if (!news.isEmpty()) {
             log(news, "");
             fleet.passOn(LimitCodec.words(news));
@@ -94,7 +94,7 @@
     /** Takes in what an upstream has told an entry host. */
     void heard(LimitHeard heard) {
         if (leads()) {
-            tell(keeper.heard(LimitCodec.heard(heard), BootClock.nanos()), heard.getHost());
+            tell(keeper.observe(LimitCodec.heard(heard), BootClock.nanos()), heard.getHost());
         }
     }
 
@@ -104,12 +104,12 @@
      */
     void heardHere(UpstreamId upstream, double perSecond) {
         if (leads()) {
-            HeardLimit heard =
-                    new HeardLimit(
+            LimitObservation heard =
+                    new LimitObservation(
                             upstream,
                             OptionalDouble.of(perSecond),
                             keeper.table().find(upstream).revision());
-            tell(keeper.heard(heard, BootClock.nanos()), self.value());
+            tell(keeper.observe(heard, BootClock.nanos()), self.value());
         }
     }
 
@@ -118,13 +118,13 @@
         if (!leads()) {
             return;
         }
-        LimitWord known = LimitCodec.known(ask);
-        if (keeper.told(known)) {
+        LimitUpdate known = LimitCodec.known(ask);
+        if (keeper.receive(known)) {
             tell(List.of(known), ask.getHost());
         }
-        PermitWant want = LimitCodec.want(ask);
+        PermitRequest want = LimitCodec.want(ask);
         asking.put(want.host(), replier);
-        answer(keeper.wanted(want, BootClock.nanos()));
+        answer(keeper.request(want, BootClock.nanos()));
         keepGranting();
     }
 
@@ -148,8 +148,8 @@
     /** Grants what there is room for, and lets limits that have ended go. */
     private void grant() {
         if (leads()) {
-            LimitKeeper.Step step = keeper.step(BootClock.nanos());
-            tell(step.words(), "");
+            LimitManager.Decisions step = keeper.advance(BootClock.nanos());
+            tell(step.updates(), "");
             answer(step.answers());
         }
     }
@@ -169,7 +169,7 @@
     /** Returns the upstreams that have a limit. */
     Set<UpstreamId> limited() {
         return keeper.table().inForce().stream()
-                .map(LimitWord::upstream)
+                .map(LimitUpdate::upstream)
                 .collect(Collectors.toSet());
     }
 
@@ -184,7 +184,7 @@
         return Json.write(Listing.class, new Listing(all, leaving));
     }
 
-    private void tell(List<LimitWord> words, String by) {
+    private void tell(List<LimitUpdate> words, String by) {
         if (!words.isEmpty()) {
             log(words, by);
             fleet.tellOthers(LimitCodec.words(words));
@@ -192,8 +192,8 @@
         }
     }
 
-    private static void log(List<LimitWord> words, String by) {
-        for (LimitWord word : words) {
+    private static void log(List<LimitUpdate> words, String by) {
+        for (LimitUpdate word : words) {
             logger.info("upstream.limit-told {} by={}", word.fields(), by);
         }
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/LimitCodec.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/LimitCodec.java
@@ -2,12 +2,12 @@
 
 import io.stackhall.core.id.HostId;
 import io.stackhall.core.id.UpstreamId;
-import io.stackhall.core.limit.HeardLimit;
+import io.stackhall.core.limit.LimitObservation;
 import io.stackhall.core.limit.LimitRevision;
-import io.stackhall.core.limit.LimitWord;
+import io.stackhall.core.limit.LimitUpdate;
 import io.stackhall.core.limit.PermitAnswer;
+import io.stackhall.core.limit.PermitRequest;
 import io.stackhall.core.limit.PermitWaits;
-import io.stackhall.core.limit.PermitWant;
 import io.stackhall.rpc.generated.fleet.LimitHeard;
 import io.stackhall.rpc.generated.fleet.LimitWords;
 import io.stackhall.rpc.generated.fleet.PermitAsk;
@@ -24,30 +24,30 @@
     private LimitCodec() {}
 
     /** Returns the frame that tells words on limits. */
-    public static Frame words(Collection<LimitWord> words) {
+    public static Frame words(Collection<LimitUpdate> words) {
         LimitWords.Builder all = LimitWords.newBuilder();
         words.forEach(word -> all.addWords(encode(word)));
         return Frame.newBuilder().setLimitWords(all).build();
     }
 
     /** Decodes words on limits. */
-    public static List<LimitWord> words(LimitWords message) {
+    public static List<LimitUpdate> words(LimitWords message) {
         return message.getWordsList().stream().map(LimitCodec::decode).toList();
     }
 
-    private static io.stackhall.rpc.generated.fleet.LimitWord encode(LimitWord word) {
+    private static io.stackhall.rpc.generated.fleet.LimitWord encode(LimitUpdate word) {
         io.stackhall.rpc.generated.fleet.LimitWord.Builder message =
                 io.stackhall.rpc.generated.fleet.LimitWord.newBuilder()
                         .setUpstream(word.upstream().toString())
                         .setEnding(word.ending())
                         .setTerm(word.revision().term())
-                        .setCount(word.revision().count());
+                        .setCount(word.revision().sequence());
         word.perSecond().ifPresent(message::setPerSecond);
         return message.build();
     }
 
-    private static LimitWord decode(io.stackhall.rpc.generated.fleet.LimitWord message) {
-        return new LimitWord(
+    private static LimitUpdate decode(io.stackhall.rpc.generated.fleet.LimitWord message) {
+        return new LimitUpdate(
                 UpstreamId.parse(message.getUpstream()),
                 figure(message.hasPerSecond(), message.getPerSecond()),
                 message.getEnding(),
@@ -55,20 +55,20 @@
     }
 
     /** Returns the frame by which a host tells what an upstream has said. */
-    public static Frame heard(HostId host, HeardLimit heard) {
+    public static Frame heard(HostId host, LimitObservation heard) {
         LimitHeard.Builder message =
                 LimitHeard.newBuilder()
                         .setHost(host.value())
                         .setUpstream(heard.upstream().toString())
                         .setTerm(heard.basis().term())
-                        .setCount(heard.basis().count());
+                        .setCount(heard.basis().sequence());
         heard.perSecond().ifPresent(message::setPerSecond);
         return Frame.newBuilder().setLimitHeard(message).build();
     }
 
     /** Decodes what an upstream has said to a host. */
-    public static HeardLimit heard(LimitHeard message) {
-        return new HeardLimit(
+    public static LimitObservation heard(LimitHeard message) {
+        return new LimitObservation(
                 UpstreamId.parse(message.getUpstream()),
                 figure(message.hasPerSecond(), message.getPerSecond()),
                 new LimitRevision(message.getTerm(), message.getCount()));
@@ -79,23 +79,23 @@
      *
      * @param known what it knows of the limit
      */
-    public static Frame ask(PermitWant want, LimitWord known) {
+    public static Frame ask(PermitRequest want, LimitUpdate known) {
         return Frame.newBuilder()
                 .setPermitAsk(
                         PermitAsk.newBuilder()
                                 .setHost(want.host().value())
-                                .setAlone(want.alone())
-                                .setSpare(want.spare())
-                                .setAskedAt(want.askedAt())
+                                .setAlone(want.exclusive())
+                                .setSpare(want.optional())
+                                .setAskedAt(want.requestedAt())
                                 .setReturned(want.returned())
-                                .setUnled(want.unled())
+                                .setUnled(want.autonomous())
                                 .setKnown(encode(known)))
                 .build();
     }
 
     /** Decodes what a host asks for. */
-    public static PermitWant want(PermitAsk message) {
-        return new PermitWant(
+    public static PermitRequest want(PermitAsk message) {
+        return new PermitRequest(
                 new HostId(message.getHost()),
                 known(message).upstream(),
                 message.getAlone(),
@@ -106,7 +106,7 @@
     }
 
     /** Decodes what a host that asks knows of the limit. */
-    public static LimitWord known(PermitAsk message) {
+    public static LimitUpdate known(PermitAsk message) {
         return decode(message.getKnown());
     }
 
@@ -116,11 +116,11 @@
                 PermitReply.newBuilder()
                         .setLeader(leader.value())
                         .setUpstream(answer.upstream().toString())
-                        .setAskedAt(answer.askedAt())
+                        .setAskedAt(answer.requestedAt())
                         .setGranted(answer.granted())
                         .setNextMillis(answer.waits().next().toMillis())
-                        .setEachMillis(answer.waits().each().toMillis());
-        answer.waits().taken().forEach(wait -> reply.addTakenMillis(wait.toMillis()));
+                        .setEachMillis(answer.waits().increment().toMillis());
+        answer.waits().queued().forEach(wait -> reply.addTakenMillis(wait.toMillis()));
         return Frame.newBuilder().setPermitReply(reply).build();
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
@@ -100,7 +100,7 @@
         this.hosts = new ControlHosts(settings, transport, this::connected);
         this.upstreams = new UpstreamClient(loop, Headers.REQUEST_ID);
         LimitedUpstreams limited = new LimitedUpstreams(settings.peerName(), random);
-        limited.shared(ASSUMED_ENTRY_HOSTS);
+        limited.setHostCount(ASSUMED_ENTRY_HOSTS);
         FleetMetrics figures = new FleetMetrics();
         UpstreamLimits upstreamLimits =
                 new UpstreamLimits(settings.peerName(), loop, limited, new ControlLinks(), figures);
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamLimits.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamLimits.java
@@ -4,11 +4,11 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.stackhall.core.id.HostId;
 import io.stackhall.core.id.UpstreamId;
-import io.stackhall.core.limit.HeardLimit;
+import io.stackhall.core.limit.LimitObservation;
 import io.stackhall.core.limit.LimitRevision;
-import io.stackhall.core.limit.LimitWord;
+import io.stackhall.core.limit.LimitUpdate;
 import io.stackhall.core.limit.LimitedUpstreams;
-import io.stackhall.core.limit.PermitWant;
+import io.stackhall.core.limit.PermitRequest;
 import io.stackhall.platform.AnswerHeaders;
 import io.stackhall.rpc.generated.fleet.LimitWords;
 import io.stackhall.rpc.generated.fleet.PermitReply;
@@ -88,17 +88,17 @@
 
     private void named(UpstreamId id, OptionalDouble limit, LimitRevision basis) {
         OptionalDouble before = limits.limit(id);
-        limits.named(id, limit, basis, BootClock.nanos())
+        limits.observe(id, limit, basis, BootClock.nanos())
                 .ifPresent(
                         heard -> {
                             logger.info(
                                     "upstream.limit-heard id={} perSecond={} before={} term={}"
                                             + " count={}",
                                     id,
-                                    LimitWord.text(limit),
-                                    LimitWord.text(before),
+                                    LimitUpdate.text(limit),
+                                    LimitUpdate.text(before),
                                     basis.term(),
-                                    basis.count());
+                                    basis.sequence());
                             tellAll(heard);
                             keepLooking();
                         });
@@ -107,8 +107,8 @@
     /** Takes in what the leader says of limits, and returns whether it changes anything. */
     boolean told(LimitWords words) {
         boolean changed = false;
-        for (LimitWord word : LimitCodec.words(words)) {
-            if (limits.told(word)) {
+        for (LimitUpdate word : LimitCodec.words(words)) {
+            if (limits.receive(word)) {
                 changed = true;
                 logger.info("upstream.limit-in-force {}", word.fields());
             }
@@ -121,12 +121,12 @@
     boolean answered(PermitReply reply) {
         leader = Optional.of(new HostId(reply.getLeader()));
         leaderAnsweredAt = BootClock.nanos();
-        return limits.answered(LimitCodec.answer(self, reply), leaderAnsweredAt);
+        return limits.receiveAnswer(LimitCodec.answer(self, reply), leaderAnsweredAt);
     }
 
     /** All requests that wait are about to be looked at anew. */
     void recount() {
-        limits.recount();
+        limits.resetWaiting();
     }
 
     /** Has what requests want asked for at once. */
@@ -160,10 +160,10 @@
 
     private void look() {
         long now = BootClock.nanos();
-        for (PermitWant want : limits.wants(now)) {
-            ask(LimitCodec.ask(want, limits.word(want.upstream())), now);
+        for (PermitRequest want : limits.dueRequests(now)) {
+            ask(LimitCodec.ask(want, limits.latestUpdate(want.upstream())), now);
         }
-        limits.unconfirmed(now).forEach(this::tellAll);
+        limits.dueObservations(now).forEach(this::tellAll);
     }
 
     private void ask(Frame frame, long now) {
@@ -174,7 +174,7 @@
         }
     }
 
-    private void tellAll(HeardLimit heard) {
+    private void tellAll(LimitObservation heard) {
         way.sendToAll(LimitCodec.heard(self, heard));
     }
 
--- a/stackhall-server/src/test/java/io/stackhall/server/fleet/LimitCodecTest.java
+++ b/stackhall-server/src/test/java/io/stackhall/server/fleet/LimitCodecTest.java
@@ -4,12 +4,12 @@
 
 import io.stackhall.core.id.HostId;
 import io.stackhall.core.id.UpstreamId;
-import io.stackhall.core.limit.HeardLimit;
+import io.stackhall.core.limit.LimitObservation;
 import io.stackhall.core.limit.LimitRevision;
-import io.stackhall.core.limit.LimitWord;
+import io.stackhall.core.limit.LimitUpdate;
 import io.stackhall.core.limit.PermitAnswer;
+import io.stackhall.core.limit.PermitRequest;
 import io.stackhall.core.limit.PermitWaits;
-import io.stackhall.core.limit.PermitWant;
 import io.stackhall.rpc.generated.peer.Frame;
 import java.time.Duration;
 import java.util.List;
@@ -25,8 +25,8 @@
 
     @Test
     void wordsAreReadAsTheyWereWritten() {
-        LimitWord limit = new LimitWord(UPSTREAM, OptionalDouble.of(0.5), true, REVISION);
-        LimitWord none = new LimitWord(UPSTREAM, OptionalDouble.empty(), false, REVISION);
+        LimitUpdate limit = new LimitUpdate(UPSTREAM, OptionalDouble.of(0.5), true, REVISION);
+        LimitUpdate none = new LimitUpdate(UPSTREAM, OptionalDouble.empty(), false, REVISION);
         Frame frame = LimitCodec.words(List.of(limit, none));
         assertThat(LimitCodec.words(frame.getLimitWords())).containsExactly(limit, none);
     }
@@ -34,7 +34,7 @@
     @Test
     void whatUpstreamsSayIsReadAsItWasWritten() {
         for (OptionalDouble named : List.of(OptionalDouble.of(0), OptionalDouble.empty())) {
-            HeardLimit heard = new HeardLimit(UPSTREAM, named, REVISION);
+            LimitObservation heard = new LimitObservation(UPSTREAM, named, REVISION);
             Frame frame = LimitCodec.heard(HOST, heard);
             assertThat(LimitCodec.heard(frame.getLimitHeard())).isEqualTo(heard);
         }
@@ -42,8 +42,8 @@
 
     @Test
     void wantsAndAnswersAreReadAsTheyWereWritten() {
-        LimitWord known = new LimitWord(UPSTREAM, OptionalDouble.of(2), false, REVISION);
-        PermitWant want = new PermitWant(HOST, UPSTREAM, 3, true, 123_456_789L, -1, true);
+        LimitUpdate known = new LimitUpdate(UPSTREAM, OptionalDouble.of(2), false, REVISION);
+        PermitRequest want = new PermitRequest(HOST, UPSTREAM, 3, true, 123_456_789L, -1, true);
         Frame ask = LimitCodec.ask(want, known);
         assertThat(LimitCodec.want(ask.getPermitAsk())).isEqualTo(want);
         assertThat(LimitCodec.known(ask.getPermitAsk())).isEqualTo(known);
