--- a/stackhall-core/src/main/java/io/stackhall/core/limit/LimitManager.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/LimitManager.java
@@ -11,31 +11,36 @@
 import java.util.Set;
 
 /**
- * Keeps the limits that upstreams name over all hosts together. Every control host knows them; the
- * one that leads decides what they are, and grants permits.
+ * Manages the request rate limits that upstreams announce for all hosts together. Every control
+ * host knows the limits; the leader decides on them and grants permits.
  *
- * <p>Load pattern: an upstream in need names one request a second, and each of nine hosts sends it
- * less than that; together they send it several times as much. A fixed share of such a limit would
- * be one request of a host in nine seconds; here hosts wait in turn, so that the limit is used by
- * whoever needs it.
+ * <p>Load pattern: an overloaded upstream announces one request per second, and each of nine hosts
+ * sends it less than that; together they send it several times as much. A fixed share of this limit
+ * would be one request per host in nine seconds; instead hosts queue for permits, so that the limit
+ * is used by the hosts that need it.
  *
- * <p>When an upstream names a limit no more, requests come back over some seconds: all at once
- * would put it in need again.
+ * <p>When an upstream stops announcing a limit, its request rate is raised over some seconds: the
+ * return of all requests at once would overload it again.
  *
  * <p>Not thread-safe: one thread uses it.
  */
 public final class LimitManager {
 
     /**
-     * An upstream that takes nothing still gets a request now and then, since only an answer can
-     * tell that the limit has ended.
+     * Lowest rate of requests, also to an upstream that announces a lower limit or 0: only an
+     * answer to a request can show that the limit has ended.
      */
     static final double MIN_PER_SECOND = 0.1;
 
-    /** How long each step of a limit's end lasts; an answer of the upstream comes within it. */
+    /**
+     * Duration of each step while a limit is ending; long enough for an answer of the upstream to
+     * arrive.
+     */
     private static final long STEP_NANOS = Duration.ofSeconds(1).toNanos();
 
+    /** Factor by which each step raises an ending limit. */
     private static final double STEP_FACTOR = 2;
+
     private static final int STEPS = 4;
 
     private final LimitTable table = new LimitTable();
@@ -45,105 +50,114 @@
     private long term;
     private long sequence;
 
-    /** How far the end of a limit has come. */
+    /** Progress of an ending limit: the steps taken, and when the last one began. */
     private record Ending(int steps, long since) {}
 
-    /** What is to be told: new words to all hosts, answers to those that asked. */
+    /**
+     * Messages to send.
+     *
+     * @param updates for all hosts
+     * @param answers for the hosts that requested permits
+     */
     public record Decisions(List<LimitUpdate> updates, List<PermitAnswer> answers) {}
 
     /**
-     * Begins to decide, as the leader of a term. What its predecessor granted is not known: each
-     * limit has to earn its next permit.
+     * Starts to decide as the leader of a term. Since the permits that its predecessor granted are
+     * not known, each queue starts without tokens.
      */
     public void lead(long newTerm, long now) {
         term = newTerm;
         sequence = 0;
         queues.clear();
         endings.clear();
-        for (LimitUpdate word : table.all()) {
-            if (word.ending()) {
-                endings.put(word.upstream(), new Ending(0, now));
+        for (LimitUpdate update : table.all()) {
+            if (update.ending()) {
+                endings.put(update.upstream(), new Ending(0, now));
             }
         }
     }
 
-    /** Takes in what the leader says, and returns whether it is news. */
-    public boolean receive(LimitUpdate word) {
-        return table.merge(word);
+    /** Merges an update of the leader, and returns whether it is newer than the known one. */
+    public boolean receive(LimitUpdate update) {
+        return table.merge(update);
     }
 
-    /** Returns the newest word on each upstream. */
+    /** Returns the latest update of each upstream. */
     public LimitTable table() {
         return table;
     }
 
-    /** Forgets all upstreams but some. */
+    /** Removes all upstreams except the given ones. */
     public void retain(Set<UpstreamId> upstreams) {
         table.retain(upstreams);
         queues.keySet().retainAll(upstreams);
         endings.keySet().retainAll(upstreams);
     }
 
-    /** Takes in that a host has reported to this one. */
+    /** Records that a host has reported to this control host. */
     public void hostReported(HostId host, long now) {
         reachableHosts.reported(host, false, now);
     }
 
     /**
-     * Decides about what an upstream has told a host; for the leader alone.
+     * Returns the updates that follow from a limit that an upstream has announced to a host. Leader
+     * only.
      *
-     * <p>A stricter limit always counts, since holding back does no harm; a looser one, or none,
-     * only if the host already knew the newest word when it asked.
+     * <p>A stricter limit is always accepted, since sending less does no harm; a looser one, or
+     * none, only if the host already knew the latest update when it sent the request.
      */
-    public List<LimitUpdate> observe(LimitObservation heard, long now) {
-        UpstreamId upstream = heard.upstream();
+    public List<LimitUpdate> observe(LimitObservation observation, long now) {
+        UpstreamId upstream = observation.upstream();
         LimitUpdate known = table.find(upstream);
-        boolean newest = heard.basis().compareTo(known.revision()) >= 0;
-        boolean counts = newest || known.isTightenedBy(heard.perSecond());
-        if (known.matches(heard.perSecond()) || !counts) {
+        boolean knewLatest = observation.basis().compareTo(known.revision()) >= 0;
+        boolean accepted = knewLatest || known.isTightenedBy(observation.perSecond());
+        if (known.matches(observation.perSecond()) || !accepted) {
             return List.of();
         }
-        if (heard.perSecond().isPresent()) {
+        if (observation.perSecond().isPresent()) {
             endings.remove(upstream);
-            return List.of(publish(upstream, heard.perSecond(), false));
+            return List.of(publish(upstream, observation.perSecond(), false));
         }
         endings.put(upstream, new Ending(1, now));
         return List.of(publish(upstream, raised(known), true));
     }
 
     private LimitUpdate publish(UpstreamId upstream, OptionalDouble perSecond, boolean ending) {
-        LimitUpdate word =
+        LimitUpdate update =
                 new LimitUpdate(upstream, perSecond, ending, new LimitRevision(term, ++sequence));
-        table.merge(word);
-        return word;
+        table.merge(update);
+        return update;
     }
 
     private static OptionalDouble raised(LimitUpdate known) {
         return OptionalDouble.of(STEP_FACTOR * rate(known));
     }
 
-    private static double rate(LimitUpdate word) {
-        return Math.max(MIN_PER_SECOND, word.perSecond().orElse(0));
+    private static double rate(LimitUpdate update) {
+        return Math.max(MIN_PER_SECOND, update.perSecond().orElse(0));
     }
 
-    /** Takes in what a host wants, and returns the answers that are due; for the leader alone. */
-    public List<PermitAnswer> request(PermitRequest want, long now) {
-        reachableHosts.reported(want.host(), want.autonomous(), now);
-        if (!table.find(want.upstream()).limited()) {
+    /** Handles a permit request of a host and returns the answers that are due. Leader only. */
+    public List<PermitAnswer> request(PermitRequest request, long now) {
+        reachableHosts.reported(request.host(), request.autonomous(), now);
+        if (!table.find(request.upstream()).limited()) {
             return List.of();
         }
-        PermitQueue queue = queue(want.upstream(), now);
-        queue.consume(-want.returned(), now);
-        return queue.request(want, now);
+        PermitQueue queue = queue(request.upstream(), now);
+        queue.consume(-request.returned(), now);
+        return queue.request(request, now);
     }
 
-    /** Returns what is due; for the leader alone, to be called several times in a tenth second. */
+    /**
+     * Returns the updates and answers that are due. Leader only; to be called several times per 100
+     * ms, the interval for which {@link PermitQueue} allows permits to accumulate.
+     */
     public Decisions advance(long now) {
-        List<LimitUpdate> words = new ArrayList<>();
+        List<LimitUpdate> updates = new ArrayList<>();
         for (UpstreamId upstream : List.copyOf(endings.keySet())) {
             Ending ending = endings.get(upstream);
             if (now - ending.since() >= STEP_NANOS) {
-                words.add(nextStep(upstream, ending, now));
+                updates.add(nextStep(upstream, ending, now));
             }
         }
         List<PermitAnswer> answers = new ArrayList<>();
@@ -151,7 +165,7 @@
         for (UpstreamId upstream : queues.keySet()) {
             answers.addAll(queue(upstream, now).grant(now));
         }
-        return new Decisions(words, answers);
+        return new Decisions(updates, answers);
     }
 
     private LimitUpdate nextStep(UpstreamId upstream, Ending ending, long now) {
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/LimitObservation.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/LimitObservation.java
@@ -4,11 +4,11 @@
 import java.util.OptionalDouble;
 
 /**
- * What an upstream has said in an answer to one host.
+ * The limit that an upstream has announced in an answer to one host.
  *
- * @param perSecond the limit that it names, or nothing where it names none
- * @param basis what the host had last heard of the limit when it sent the request: an answer may
- *     only end what was known before it was asked for
+ * @param perSecond the announced limit in requests per second, or empty if there is none
+ * @param basis revision of the limit that the host knew when it sent the request: an answer may
+ *     only end a limit that was known before the request
  */
 public record LimitObservation(
         UpstreamId upstream, OptionalDouble perSecond, LimitRevision basis) {}
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/LimitRevision.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/LimitRevision.java
@@ -3,11 +3,11 @@
 import java.util.Comparator;
 
 /**
- * Orders what keepers have said of one upstream's limit: what a later leader says is newer,
- * whatever was said before.
+ * Orders the updates of one upstream's limit: any update of a later leader is newer than all
+ * updates of earlier ones.
  *
- * @param term the term of the leader that said it, or 0 where nothing was said
- * @param count how much that leader had said by then
+ * @param term the term of the leader that published the update, or 0 before the first update
+ * @param sequence number of the update among all of that leader, from 1
  */
 public record LimitRevision(long term, long sequence) implements Comparable<LimitRevision> {
 
@@ -15,14 +15,14 @@
             Comparator.comparingLong(LimitRevision::term)
                     .thenComparingLong(LimitRevision::sequence);
 
-    /** Checks the figures. */
+    /** Validates the components. */
     public LimitRevision {
         if (term < 0 || sequence < 0) {
-            throw new IllegalArgumentException("term " + term + ", count " + sequence);
+            throw new IllegalArgumentException("term " + term + ", sequence " + sequence);
         }
     }
 
-    /** Returns the revision from before anything was said. */
+    /** Returns the revision before the first update. */
     public static LimitRevision none() {
         return new LimitRevision(0, 0);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/LimitTable.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/LimitTable.java
@@ -8,8 +8,7 @@
 import java.util.Set;
 
 /**
- * The newest word on each upstream's limit, whatever the order in which words come and however
- * often.
+ * The latest update of each upstream's limit. Updates may arrive in any order and repeatedly.
  *
  * <p>Not thread-safe: one thread uses it.
  */
@@ -17,37 +16,37 @@
 
     private final Map<UpstreamId, LimitUpdate> updates = new HashMap<>();
 
-    /** Takes in a word, and returns whether it is newer than what was known. */
-    public boolean merge(LimitUpdate word) {
-        if (word.revision().compareTo(find(word.upstream()).revision()) <= 0) {
+    /** Merges an update, and returns whether it is newer than the known one. */
+    public boolean merge(LimitUpdate update) {
+        if (update.revision().compareTo(find(update.upstream()).revision()) <= 0) {
             return false;
         }
-        updates.put(word.upstream(), word);
+        updates.put(update.upstream(), update);
         return true;
     }
 
-    /** Returns the newest word of an upstream. */
+    /** Returns the latest update of an upstream, or one without a limit if there is none. */
     public LimitUpdate find(UpstreamId upstream) {
-        LimitUpdate word = updates.get(upstream);
-        return word == null ? LimitUpdate.none(upstream) : word;
+        LimitUpdate update = updates.get(upstream);
+        return update == null ? LimitUpdate.none(upstream) : update;
     }
 
-    /** Returns the newest word of each upstream that ever had a limit. */
+    /** Returns the latest update of each upstream that ever had a limit. */
     public Collection<LimitUpdate> all() {
         return List.copyOf(updates.values());
     }
 
-    /** Returns the words that name a limit. */
+    /** Returns the updates of all upstreams that have a limit now. */
     public List<LimitUpdate> inForce() {
         return updates.values().stream().filter(LimitUpdate::limited).toList();
     }
 
-    /** Forgets an upstream that is gone. */
+    /** Removes an upstream that is gone. */
     public void forget(UpstreamId upstream) {
         updates.remove(upstream);
     }
 
-    /** Forgets all upstreams but some. */
+    /** Removes all upstreams except the given ones. */
     public void retain(Set<UpstreamId> upstreams) {
         updates.keySet().retainAll(upstreams);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/LimitUpdate.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/LimitUpdate.java
@@ -5,19 +5,19 @@
 import java.util.OptionalDouble;
 
 /**
- * What the keeper says of one upstream's limit.
+ * The current limit of one upstream, as decided by the leading {@link LimitManager}.
  *
- * @param upstream one life of it; a later one has no limit until it names one
- * @param perSecond the requests that it takes in a second from all hosts together, or nothing where
- *     it has no limit any more
- * @param ending whether the upstream itself names no limit any more, and the one here only spares
- *     it the return of all at once
- * @param revision orders the words of one upstream
+ * @param upstream one incarnation; a later one has no limit until it announces one
+ * @param perSecond the requests per second that it accepts from all hosts together, or empty if it
+ *     has no limit any more
+ * @param ending whether the upstream itself announces no limit any more, and this one only keeps
+ *     requests from returning all at once
+ * @param revision orders the updates of one upstream
  */
 public record LimitUpdate(
         UpstreamId upstream, OptionalDouble perSecond, boolean ending, LimitRevision revision) {
 
-    /** Checks the figure. */
+    /** Validates the components. */
     public LimitUpdate {
         Objects.requireNonNull(upstream, "upstream");
         Objects.requireNonNull(revision, "revision");
@@ -26,33 +26,33 @@
         }
     }
 
-    /** Returns the word of an upstream of which nothing was said. */
+    /** Returns the initial update of an upstream, without a limit. */
     static LimitUpdate none(UpstreamId upstream) {
         return new LimitUpdate(upstream, OptionalDouble.empty(), false, LimitRevision.none());
     }
 
-    /** Returns a limit as logs tell it. */
+    /** Returns a limit as written to the log. */
     public static String text(OptionalDouble perSecond) {
         return perSecond.isPresent() ? Double.toString(perSecond.getAsDouble()) : "none";
     }
 
-    /** Returns the word as logs tell it. */
+    /** Returns the update as fields of a log line. */
     public String fields() {
         return "id=%s perSecond=%s ending=%s term=%d count=%d"
                 .formatted(upstream, text(perSecond), ending, revision.term(), revision.sequence());
     }
 
-    /** Returns whether there is a limit. */
+    /** Returns whether the upstream has a limit. */
     public boolean limited() {
         return perSecond.isPresent();
     }
 
-    /** Returns whether the upstream itself named just this. */
+    /** Returns whether this update already reflects what the upstream announces. */
     boolean matches(OptionalDouble named) {
         return named.isPresent() ? !ending && named.equals(perSecond) : ending || !limited();
     }
 
-    /** Returns whether a figure allows less than this. */
+    /** Returns whether an announced limit is lower than this one. */
     boolean isTightenedBy(OptionalDouble named) {
         return named.isPresent()
                 && named.getAsDouble() < perSecond.orElse(Double.POSITIVE_INFINITY);
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/LimitedUpstreams.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/LimitedUpstreams.java
@@ -12,42 +12,46 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which upstreams have a limit, as one host knows it, and whether the host may send them a request
- * now: with a permit of the {@link LimitManager}, or, once no keeper has answered for a while, in
- * one of its own turns, which are its equal share of the limit.
+ * The limits of upstreams as known to one host. Decides whether the host may send an upstream a
+ * request now: with a permit of the leading {@link LimitManager} or, once no control host has
+ * answered for a while, autonomously at intervals that give the host its equal share of the limit.
  *
- * <p>What an upstream tells this very host is obeyed at once; what is looser than known counts only
- * once the keeper says so.
+ * <p>A limit that an upstream announces to this host applies at once; a looser one than known
+ * applies only when the leader confirms it.
  *
  * <p>Not thread-safe: one thread uses it.
  */
 public final class LimitedUpstreams {
 
-    /** What a request that waits has not renewed for this long is wanted no more. */
+    /** Demand of waiting requests that is not renewed for this long expires. */
     private static final long DEMAND_EXPIRY_NANOS = Duration.ofMillis(120).toNanos();
 
-    /** A keeper forgets what a host wants after a second. */
+    /** Interval of repeated messages; the limit manager drops permit requests after 1 s. */
     private static final long RETRY_INTERVAL_NANOS = Duration.ofMillis(300).toNanos();
 
-    /** A request that others can serve as well asks so often whether a limited one may be used. */
+    /** Interval at which optional permits are requested, for requests that others serve as well. */
     private static final long OPTIONAL_REQUEST_INTERVAL_NANOS = Duration.ofMillis(500).toNanos();
 
     /**
-     * A permit counts so long from the moment at which it was asked for, so that a host that was
-     * frozen meanwhile does not use it.
+     * Validity of a permit, counted from the time of its request, so that a process that was paused
+     * meanwhile does not use it.
      */
     private static final long PERMIT_VALIDITY_NANOS = Duration.ofSeconds(1).toNanos();
 
     /**
-     * By then a keeper that hears nothing of this host any more leaves it its share, and a next
-     * leader has usually been elected.
+     * Time without an answer after which the host sends autonomously. By then a limit manager that
+     * receives no reports of this host no longer grants its share, and a new leader has usually
+     * been elected.
      */
     static final long AUTONOMOUS_AFTER_NANOS = Duration.ofMillis(2200).toNanos();
 
-    /** A turn that no request uses in this time is lost, so that unused turns do not pile up. */
+    /**
+     * An autonomous send that is not used within this time is lost, so that unused ones do not
+     * accumulate.
+     */
     private static final long SEND_WINDOW_NANOS = Duration.ofMillis(500).toNanos();
 
-    /** What waits beyond that on one host is refused long before its turn. */
+    /** Requests waiting on one host beyond this number are refused long before their permit. */
     private static final int MAX_WAITING = 32;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -58,7 +62,7 @@
     private final Map<UpstreamId, State> states = new HashMap<>();
     private int hosts = 1;
 
-    /** What this host has to do with one limited upstream. */
+    /** State of one limited upstream. */
     private static final class State {
         private OptionalDouble provisional = OptionalDouble.empty();
         private Optional<LimitObservation> unconfirmed = Optional.empty();
@@ -86,15 +90,15 @@
         }
     }
 
-    /** Creates the limits of a host that knows none. */
+    /** Creates the state of a host that knows no limits. */
     public LimitedUpstreams(HostId self, RandomGenerator random) {
         this.self = self;
         this.random = random;
     }
 
-    /** Takes in how many hosts share the limits. */
-    public void setHostCount(int among) {
-        hosts = Math.max(1, among);
+    /** Sets how many hosts share the limits. */
+    public void setHostCount(int count) {
+        hosts = Math.max(1, count);
     }
 
     /** Returns how many upstreams have a limit. */
@@ -102,7 +106,7 @@
         return states.size();
     }
 
-    /** Returns the limit of an upstream, in requests a second over all hosts. */
+    /** Returns the limit of an upstream, in requests per second over all hosts. */
     public OptionalDouble limit(UpstreamId id) {
         State state = states.get(id);
         if (state == null) {
@@ -111,26 +115,28 @@
         return state.provisional.isPresent() ? state.provisional : table.find(id).perSecond();
     }
 
-    /** Returns what is known of an upstream's limit when a request is sent to it. */
+    /**
+     * Returns the known revision of an upstream's limit, to be kept when a request is sent to it.
+     */
     public LimitRevision revision(UpstreamId id) {
         return table.find(id).revision();
     }
 
-    /** Returns the newest word on an upstream's limit. */
+    /** Returns the latest update of an upstream's limit. */
     public LimitUpdate latestUpdate(UpstreamId id) {
         return table.find(id);
     }
 
-    /** Forgets an upstream that is gone. */
+    /** Removes an upstream that is gone. */
     public void forget(UpstreamId id) {
         table.forget(id);
         states.remove(id);
     }
 
     /**
-     * Takes in what an answer says, and returns what the keeper is to be told of it.
+     * Records the limit that an answer announces, and returns what to report to the control hosts.
      *
-     * @param named the limit that the answer names, or nothing where it names none
+     * @param named the announced limit in requests per second, or empty if there is none
      * @param basis {@link #revision} when the request was sent
      */
     public Optional<LimitObservation> observe(
@@ -149,8 +155,8 @@
         if (known.isTightenedBy(named)) {
             return tighten(id, states.computeIfAbsent(id, key -> new State()), named, basis, now);
         }
-        boolean knew = state != null && basis.compareTo(known.revision()) >= 0;
-        if (!knew || now - state.reportedAt < RETRY_INTERVAL_NANOS) {
+        boolean knewLatest = state != null && basis.compareTo(known.revision()) >= 0;
+        if (!knewLatest || now - state.reportedAt < RETRY_INTERVAL_NANOS) {
             return Optional.empty();
         }
         state.reportedAt = now;
@@ -169,17 +175,17 @@
         return state.unconfirmed;
     }
 
-    /** Takes in what the keeper says, and returns whether it is news. */
-    public boolean receive(LimitUpdate word) {
-        if (!table.merge(word)) {
+    /** Merges an update of the leader, and returns whether it is newer than the known one. */
+    public boolean receive(LimitUpdate update) {
+        if (!table.merge(update)) {
             return false;
         }
-        if (word.limited()) {
-            State state = states.computeIfAbsent(word.upstream(), key -> new State());
+        if (update.limited()) {
+            State state = states.computeIfAbsent(update.upstream(), key -> new State());
             state.provisional = OptionalDouble.empty();
             state.unconfirmed = Optional.empty();
         } else {
-            states.remove(word.upstream());
+            states.remove(update.upstream());
         }
         return true;
     }
@@ -211,12 +217,12 @@
         } else if (inSendWindow(state, now)) {
             state.nextSendAt += sendIntervalNanos(id);
         } else {
-            // Sent without a permit all the same, which the keeper has to count.
+            // Sent without a permit: the limit manager has to count it.
             state.returnedPermits--;
         }
     }
 
-    /** Gives back a permit that this host has and must not use. */
+    /** Returns a permit that this host holds and must not use. */
     public void returnPermit(UpstreamId id, long now) {
         State state = states.get(id);
         if (state != null && hasPermit(state, now)) {
@@ -233,15 +239,17 @@
         }
     }
 
-    /** All requests that wait are about to be looked at anew, each of which says so again. */
+    /**
+     * Resets the number of waiting requests, before each of them calls {@link #awaitPermit} again.
+     */
     public void resetWaiting() {
         states.values().forEach(state -> state.waiting = 0);
     }
 
     /**
-     * Notes that a request waits which only this upstream can serve now.
+     * Records a waiting request that only this upstream can serve now.
      *
-     * @return when this host's requests may expect to be sent, in their order
+     * @return the expected waits of this host's requests, in their order
      */
     public PermitWaits awaitPermit(UpstreamId id, long now) {
         State state = states.get(id);
@@ -253,7 +261,9 @@
         return state.waits.afterElapsed(Duration.ofNanos(now - state.lastAnswerAt));
     }
 
-    /** Returns whether a request that others serve as well should ask whether it may be used. */
+    /**
+     * Returns whether a request that others can serve as well should request an optional permit.
+     */
     public boolean optionalRequestDue(UpstreamId id, long now) {
         State state = states.get(id);
         return state != null
@@ -262,7 +272,7 @@
                 && now - state.requestedAt >= OPTIONAL_REQUEST_INTERVAL_NANOS;
     }
 
-    /** Notes that a request could be sent to this upstream which others serve as well. */
+    /** Records that a request which others can serve as well could be sent to this upstream. */
     public void requestOptionalPermit(UpstreamId id, long now) {
         State state = states.get(id);
         if (state != null) {
@@ -272,12 +282,12 @@
     }
 
     private static void recordDemand(State state, long now) {
-        boolean anew = now - state.lastDemandAt > DEMAND_EXPIRY_NANOS;
-        state.demandSince = anew ? now : state.demandSince;
+        boolean expired = now - state.lastDemandAt > DEMAND_EXPIRY_NANOS;
+        state.demandSince = expired ? now : state.demandSince;
         state.lastDemandAt = now;
     }
 
-    /** Takes in a keeper's answer, and returns whether it lets a request go. */
+    /** Records an answer of the leader, and returns whether it allows sending a request. */
     public boolean receiveAnswer(PermitAnswer answer, long now) {
         State state = states.get(answer.upstream());
         if (state == null) {
@@ -299,7 +309,7 @@
         return true;
     }
 
-    /** Returns what keepers are to be told now. */
+    /** Returns the permit requests to send to the control hosts now. */
     public List<PermitRequest> dueRequests(long now) {
         List<PermitRequest> due = new ArrayList<>();
         states.forEach((id, state) -> dueRequest(id, state, now).ifPresent(due::add));
@@ -312,22 +322,28 @@
         }
         returnExpiredPermit(state, now);
         updateAutonomy(id, state, now);
-        // The permit at hand is for the first of those that wait.
-        int alone = Math.max(0, state.waiting - (hasPermit(state, now) ? 1 : 0));
-        boolean spare = state.optionalDemand && alone == 0 && !hasPermit(state, now);
-        boolean changed = spare || alone != state.requestedPermits;
-        boolean again = alone > 0 && now - state.requestedAt >= RETRY_INTERVAL_NANOS;
-        if (!changed && !again && state.returnedPermits == 0) {
+        // The permit that is held serves the first waiting request.
+        int exclusive = Math.max(0, state.waiting - (hasPermit(state, now) ? 1 : 0));
+        boolean optional = state.optionalDemand && exclusive == 0 && !hasPermit(state, now);
+        boolean changed = optional || exclusive != state.requestedPermits;
+        boolean repeat = exclusive > 0 && now - state.requestedAt >= RETRY_INTERVAL_NANOS;
+        if (!changed && !repeat && state.returnedPermits == 0) {
             return Optional.empty();
         }
-        PermitRequest want =
+        PermitRequest request =
                 new PermitRequest(
-                        self, id, alone, spare, now, state.returnedPermits, state.autonomous);
+                        self,
+                        id,
+                        exclusive,
+                        optional,
+                        now,
+                        state.returnedPermits,
+                        state.autonomous);
         state.returnedPermits = 0;
-        state.requestedPermits = alone;
+        state.requestedPermits = exclusive;
         state.optionalDemand = false;
         state.requestedAt = now;
-        return Optional.of(want);
+        return Optional.of(request);
     }
 
     private static void returnExpiredPermit(State state, long now) {
@@ -357,7 +373,8 @@
     }
 
     /**
-     * Returns what upstreams have told this host and no keeper has answered yet, to be told again.
+     * Returns the announced limits that no leader has confirmed yet and that are due to be reported
+     * again.
      */
     public List<LimitObservation> dueObservations(long now) {
         List<LimitObservation> due = new ArrayList<>();
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/PermitAnswer.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/PermitAnswer.java
@@ -4,11 +4,11 @@
 import io.stackhall.core.id.UpstreamId;
 
 /**
- * What the keeper answers to a {@link PermitRequest}, at once or once there is room.
+ * The leader's answer to a {@link PermitRequest}, sent at once or when a permit becomes available.
  *
- * @param askedAt when the host had asked, on its own clock
+ * @param requestedAt when the host sent the request, on its own clock
  * @param granted whether one request may be sent
- * @param waits when the host's other requests may expect theirs
+ * @param waits expected waits of the host's other requests
  */
 public record PermitAnswer(
         HostId host, UpstreamId upstream, long requestedAt, boolean granted, PermitWaits waits) {}
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/PermitQueue.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/PermitQueue.java
@@ -10,22 +10,28 @@
 import java.util.Map;
 
 /**
- * The permits of one upstream, and the requests of all hosts that wait for one, in the order in
- * which they came: whoever is told a time keeps its place.
+ * Token bucket for the permits of one upstream, with a FIFO queue of the requests of all hosts that
+ * wait for one. A request that was given an expected wait keeps its position.
  *
- * <p>In any time it grants no more than the limit allows in that time, and {@link #burst} beside.
+ * <p>In any interval it grants no more permits than the limit allows, plus {@link #burst}.
  *
  * <p>Not thread-safe: one thread uses it.
  */
 final class PermitQueue {
 
-    /** A host that still waits asks again several times in this time. */
+    /**
+     * Requests of a host that has not repeated them for this long are dropped; it repeats every 300
+     * ms.
+     */
     private static final long REQUEST_EXPIRY_NANOS = Duration.ofSeconds(1).toNanos();
 
-    /** Permits may be granted together for this time: so far apart are the looks of the keeper. */
+    /**
+     * Permits may accumulate for this long, since queues are only checked at intervals of up to
+     * that length.
+     */
     private static final double BURST_SECONDS = 0.1;
 
-    /** Nobody is told a longer time: by then the limit may have changed. */
+    /** Longest wait that is reported to a host: by then the limit may have changed. */
     private static final Duration MAX_REPORTED_WAIT = Duration.ofSeconds(30);
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -37,21 +43,24 @@
     private double tokens;
     private long refilledAt;
 
-    /** When a host asked last, on its clock, and when that was heard, on the keeper's. */
-    private record LastRequest(long requestedAt, long receivedAt) {}
-
     /**
-     * Creates a queue that has to earn its first permit: what was sent just before is not known.
+     * The last permit request of a host.
+     *
+     * @param requestedAt when it was sent, on the host's clock
+     * @param receivedAt when it was received, on the clock of this process
      */
+    private record LastRequest(long requestedAt, long receivedAt) {}
+
+    /** Creates a queue without tokens: what hosts sent just before is not known. */
     PermitQueue(UpstreamId upstream, long now) {
         this.upstream = upstream;
         this.refilledAt = now;
     }
 
-    /** Takes over how many permits may be granted in a second from now on. */
-    void setRate(double next, long now) {
+    /** Sets how many permits per second may be granted from now on. */
+    void setRate(double rate, long now) {
         refill(now);
-        perSecond = next;
+        perSecond = rate;
         tokens = Math.min(tokens, burst());
     }
 
@@ -59,42 +68,42 @@
         return 1 + Math.max(1, perSecond * BURST_SECONDS);
     }
 
-    /** Takes in requests that were sent without a permit; negative for permits that come back. */
+    /** Deducts requests that were sent without a permit; negative for returned permits. */
     void consume(double permits, long now) {
         refill(now);
         tokens = Math.min(burst(), tokens - permits);
     }
 
-    /** Takes in what a host wants, and returns all answers that are due. */
-    List<PermitAnswer> request(PermitRequest want, long now) {
-        lastRequests.put(want.host(), new LastRequest(want.requestedAt(), now));
-        resizeEntries(want.host(), want.exclusive());
+    /** Handles a permit request of a host and returns all answers that are due. */
+    List<PermitAnswer> request(PermitRequest request, long now) {
+        lastRequests.put(request.host(), new LastRequest(request.requestedAt(), now));
+        resizeEntries(request.host(), request.exclusive());
         List<PermitAnswer> answers = new ArrayList<>(grant(now));
-        boolean granted = answers.stream().anyMatch(one -> one.host().equals(want.host()));
-        if (want.exclusive() > 0 && !granted) {
-            answers.add(answer(want.host(), want.requestedAt(), false));
-        } else if (want.optional()) {
-            boolean spare = queue.isEmpty() && tokens >= burst();
-            tokens -= spare ? 1 : 0;
-            answers.add(answer(want.host(), want.requestedAt(), spare));
+        boolean grantedToHost = answers.stream().anyMatch(one -> one.host().equals(request.host()));
+        if (request.exclusive() > 0 && !grantedToHost) {
+            answers.add(answer(request.host(), request.requestedAt(), false));
+        } else if (request.optional()) {
+            boolean grantOptional = queue.isEmpty() && tokens >= burst();
+            tokens -= grantOptional ? 1 : 0;
+            answers.add(answer(request.host(), request.requestedAt(), grantOptional));
         }
         return answers;
     }
 
-    private void resizeEntries(HostId host, int wanted) {
+    private void resizeEntries(HostId host, int count) {
         int kept = 0;
         Iterator<HostId> each = queue.iterator();
         while (each.hasNext()) {
-            if (each.next().equals(host) && ++kept > wanted) {
+            if (each.next().equals(host) && ++kept > count) {
                 each.remove();
             }
         }
-        for (int place = kept; place < wanted; place++) {
+        for (int entry = kept; entry < count; entry++) {
             queue.add(host);
         }
     }
 
-    /** Grants what there is room for, to those that have waited longest. */
+    /** Grants the available tokens to the requests that have waited longest. */
     List<PermitAnswer> grant(long now) {
         refill(now);
         lastRequests.values().removeIf(one -> now - one.receivedAt() > REQUEST_EXPIRY_NANOS);
@@ -108,17 +117,17 @@
         return answers;
     }
 
-    private PermitAnswer answer(HostId host, long askedAt, boolean granted) {
-        List<Duration> taken = new ArrayList<>();
+    private PermitAnswer answer(HostId host, long requestedAt, boolean granted) {
+        List<Duration> queued = new ArrayList<>();
         int ahead = 0;
         for (HostId other : queue) {
             ahead++;
             if (other.equals(host)) {
-                taken.add(timeUntil(ahead - tokens));
+                queued.add(timeUntil(ahead - tokens));
             }
         }
-        PermitWaits waits = new PermitWaits(taken, timeUntil(ahead + 1 - tokens), timeUntil(1));
-        return new PermitAnswer(host, upstream, askedAt, granted, waits);
+        PermitWaits waits = new PermitWaits(queued, timeUntil(ahead + 1 - tokens), timeUntil(1));
+        return new PermitAnswer(host, upstream, requestedAt, granted, waits);
     }
 
     private Duration timeUntil(double permits) {
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/PermitRequest.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/PermitRequest.java
@@ -4,15 +4,15 @@
 import io.stackhall.core.id.UpstreamId;
 
 /**
- * What one host would send to an upstream that has a limit.
+ * The requests that one host would send to an upstream with a limit.
  *
- * @param alone requests that wait which no other upstream can serve now
- * @param spare whether a request could be sent that others may serve as well; granted only while
- *     nobody waits
- * @param askedAt when it asks, on its own clock
- * @param returned permits that it was granted and has not used; negative for requests that it has
- *     sent without one
- * @param unled whether it has begun to send without a keeper, for want of answers
+ * @param exclusive number of waiting requests that no other upstream can serve now
+ * @param optional whether a request could be sent that other upstreams may serve as well; granted
+ *     only while the queue is empty
+ * @param requestedAt when the host sends this, on its own clock
+ * @param returned number of permits that it was granted and has not used; negative for requests
+ *     sent without a permit
+ * @param autonomous whether it has begun to send its share without permits, for lack of answers
  */
 public record PermitRequest(
         HostId host,
@@ -23,10 +23,10 @@
         int returned,
         boolean autonomous) {
 
-    /** Checks the figures. */
+    /** Validates the components. */
     public PermitRequest {
         if (exclusive < 0) {
-            throw new IllegalArgumentException("alone is " + exclusive);
+            throw new IllegalArgumentException("exclusive is " + exclusive);
         }
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/limit/PermitWaits.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/limit/PermitWaits.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * When requests of one host may expect their permits.
+ * Expected waits of one host's requests for their permits.
  *
- * @param taken for each of those that are in the queue already, in order
- * @param next for one more
- * @param each for each further one after that
+ * @param queued for each of its requests in the queue, in order
+ * @param next for one further request
+ * @param increment additional wait of each request after that
  */
 public record PermitWaits(List<Duration> queued, Duration next, Duration increment) {
 
@@ -17,27 +17,27 @@
         queued = List.copyOf(queued);
     }
 
-    /** Returns the waits while nothing is known of the queue. */
+    /** Returns the waits to assume while the queue is not known. */
     public static PermitWaits unknown() {
         return new PermitWaits(List.of(), Duration.ZERO, Duration.ZERO);
     }
 
-    /** Returns when a request may expect its permit before which others of its host wait. */
+    /** Returns the expected wait of a request behind a number of others of its host. */
     public Duration waitBehind(int ahead) {
         return ahead < queued.size()
                 ? queued.get(ahead)
                 : next.plus(increment.multipliedBy(ahead - queued.size()));
     }
 
-    /** Returns the waits as they are some time later. */
-    PermitWaits afterElapsed(Duration passed) {
+    /** Returns what remains of the waits after some time. */
+    PermitWaits afterElapsed(Duration elapsed) {
         return new PermitWaits(
-                queued.stream().map(wait -> subtract(wait, passed)).toList(),
-                subtract(next, passed),
+                queued.stream().map(wait -> subtract(wait, elapsed)).toList(),
+                subtract(next, elapsed),
                 increment);
     }
 
-    private static Duration subtract(Duration wait, Duration passed) {
-        return wait.compareTo(passed) > 0 ? wait.minus(passed) : Duration.ZERO;
+    private static Duration subtract(Duration wait, Duration elapsed) {
+        return wait.compareTo(elapsed) > 0 ? wait.minus(elapsed) : Duration.ZERO;
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/EventTimes.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/EventTimes.java
@@ -4,23 +4,23 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** When requests came, in order, in nanoseconds of a play. */
+/** Times of requests, in order, in nanoseconds of virtual time. */
 final class EventTimes {
 
     private static final long WINDOW = Duration.ofSeconds(4).toNanos();
 
     private final List<Long> times = new ArrayList<>();
 
-    void add(long moment) {
-        times.add(moment);
+    void add(long time) {
+        times.add(time);
     }
 
-    /** Returns how many came after a moment and before another. */
+    /** Returns how many requests arrived in an interval. */
     long count(Duration from, Duration to) {
         return between(from, to).size();
     }
 
-    /** Returns the most that came in four seconds, after a moment and before another. */
+    /** Returns the largest number of requests within any four seconds of an interval. */
     int worstFourSeconds(Duration from, Duration to) {
         List<Long> counted = between(from, to);
         int worst = 0;
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/LimitManagerProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/LimitManagerProperties.java
@@ -10,7 +10,10 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 
-/** A limit that is named while hosts and keepers are cut off, frozen, restarted and replaced. */
+/**
+ * Tests that a limit is kept while hosts and control hosts are disconnected, paused, restarted and
+ * replaced.
+ */
 class LimitManagerProperties {
 
     private static final Duration LIMIT_FROM = Duration.ofSeconds(2);
@@ -27,7 +30,7 @@
             @ForAll @IntRange(min = 0, max = 9000) int cutFor,
             @ForAll @IntRange(min = 3000, max = 15000) int frozenAt,
             @ForAll @IntRange(min = 300, max = 4000) int leaderLostFor) {
-        LimitSimulation play =
+        LimitSimulation simulation =
                 new LimitSimulation(seed, hosts)
                         .limitFrom(LIMIT_FROM, OptionalDouble.of(limit))
                         .cut(cut, Duration.ofMillis(cutAt), Duration.ofMillis(cutFor))
@@ -36,7 +39,8 @@
                         .loseLeader(
                                 Duration.ofMillis(3000 + cutFor), Duration.ofMillis(leaderLostFor))
                         .run(END, 4 * limit + 5);
-        assertThat(play.worstFourSeconds(CHECKED_FROM, END)).isLessThanOrEqualTo(tolerated(limit));
+        assertThat(simulation.worstFourSeconds(CHECKED_FROM, END))
+                .isLessThanOrEqualTo(tolerated(limit));
     }
 
     @Property(tries = 100)
@@ -44,31 +48,31 @@
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 40) int hosts,
             @ForAll @DoubleRange(min = 2, max = 5) double first) {
-        LimitSimulation play =
+        LimitSimulation simulation =
                 new LimitSimulation(seed, hosts)
                         .limitFrom(LIMIT_FROM, OptionalDouble.of(first))
                         .limitFrom(Duration.ofSeconds(7), OptionalDouble.of(first / 2))
                         .limitFrom(Duration.ofSeconds(12), OptionalDouble.empty())
                         .run(Duration.ofSeconds(24), 12);
-        assertThat(play.worstFourSeconds(Duration.ofSeconds(8), Duration.ofSeconds(12)))
+        assertThat(simulation.worstFourSeconds(Duration.ofSeconds(8), Duration.ofSeconds(12)))
                 .isLessThanOrEqualTo(tolerated(first / 2));
-        assertThat(play.worstFourSeconds(Duration.ofSeconds(12), Duration.ofSeconds(14)))
-                .as("no return of all at once")
+        assertThat(simulation.worstFourSeconds(Duration.ofSeconds(12), Duration.ofSeconds(14)))
+                .as("requests do not return all at once")
                 .isLessThanOrEqualTo(tolerated(2 * first));
         Duration from = Duration.ofSeconds(20);
         Duration to = Duration.ofSeconds(24);
-        assertThat(play.arrived(from, to))
-                .as("all get through, but one that comes at the very end")
-                .isGreaterThanOrEqualTo(play.requested(from, to) - 1);
+        assertThat(simulation.arrived(from, to))
+                .as("all requests are served, except one that arrives at the very end")
+                .isGreaterThanOrEqualTo(simulation.requested(from, to) - 1);
     }
 
-    /** A seed that draws 29 requests in the last four seconds, where 48 are to be expected. */
+    /** A seed that generates 29 requests in the last four seconds, where 48 are expected. */
     @Example
     void endedLimitReachesAllHostsWithFewRequests() {
         changedAndEndedLimitsReachAllHosts(-15, 1, 2.0);
     }
 
-    /** What an upstream forgives in any four seconds. */
+    /** The number of requests that an upstream tolerates in any four seconds. */
     private static int tolerated(double limit) {
         return (int) (1.5 * 4 * limit) + 5;
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/LimitManagerReplayTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/LimitManagerReplayTest.java
@@ -6,7 +6,7 @@
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 
-/** Requests that only an upstream with a limit can serve, at 3 to 95 hosts. */
+/** Simulates requests that only an upstream with a limit can serve, arriving at 3 to 95 hosts. */
 class LimitManagerReplayTest {
 
     private static final int[] HOSTS = {3, 9, 30, 95};
@@ -16,7 +16,9 @@
     private static final Duration CHECKED_FROM = Duration.ofSeconds(3);
     private static final Duration END = Duration.ofSeconds(23);
 
-    /** What an upstream has to get of its limit while enough wait for it alone. */
+    /**
+     * The fraction of its limit that an upstream must receive while enough requests wait for it.
+     */
     private static final double MIN_UTILIZATION = 0.7;
 
     @Test
@@ -24,11 +26,12 @@
         for (int hosts : HOSTS) {
             for (double limit : LIMITS) {
                 for (long seed = 0; seed < SEEDS; seed++) {
-                    LimitSimulation play = simulation(seed, hosts, limit).run(END, 3 * limit + 2);
-                    assertThat(play.worstFourSeconds(CHECKED_FROM, END))
+                    LimitSimulation simulation =
+                            simulation(seed, hosts, limit).run(END, 3 * limit + 2);
+                    assertThat(simulation.worstFourSeconds(CHECKED_FROM, END))
                             .as("%d hosts, %s a second, seed %d", hosts, limit, seed)
                             .isLessThanOrEqualTo(bound(limit));
-                    assertThat(play.perSecond(CHECKED_FROM.plusSeconds(3), END))
+                    assertThat(simulation.perSecond(CHECKED_FROM.plusSeconds(3), END))
                             .as("%d hosts, %s a second, seed %d", hosts, limit, seed)
                             .isGreaterThanOrEqualTo(MIN_UTILIZATION * limit);
                 }
@@ -40,7 +43,7 @@
         return new LimitSimulation(seed, hosts).limitFrom(LIMIT_FROM, OptionalDouble.of(limit));
     }
 
-    /** The limit itself in four seconds, and what may be granted together. */
+    /** The limit over four seconds, plus the burst that may be granted at once. */
     private static int bound(double limit) {
         return (int) Math.ceil(4 * limit + 1 + Math.max(1, limit / 10)) + 1;
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/LimitSimulation.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/LimitSimulation.java
@@ -12,9 +12,9 @@
 import java.util.function.Consumer;
 
 /**
- * Hosts, their keepers and one upstream that has a limit, in virtual time: requests that only it
- * can serve come at random hosts, words take some milliseconds, and hosts or keepers may be cut
- * off, frozen or replaced.
+ * Simulates hosts, control hosts and one upstream with a limit in virtual time: requests that only
+ * it can serve arrive at random hosts, messages take some milliseconds, and hosts or control hosts
+ * may be disconnected, paused or replaced.
  */
 final class LimitSimulation {
 
@@ -25,7 +25,7 @@
     private static final long REPORT_INTERVAL = 1000 * MILLI;
     private static final long MANAGER_TICK = 20 * MILLI;
 
-    /** The caller of a request waits so long. */
+    /** How long the caller of a request waits. */
     private static final Duration DEFAULT_CALLER_TIMEOUT = Duration.ofSeconds(4);
 
     private final Random random;
@@ -53,8 +53,8 @@
         private final HostId id;
         private LimitedUpstreams limits;
         private final List<Long> waiting = new ArrayList<>();
-        private boolean cut;
-        private boolean frozen;
+        private boolean unreachable;
+        private boolean paused;
 
         Host(int number) {
             id = new HostId("entry-" + number);
@@ -68,7 +68,7 @@
         }
 
         void tick() {
-            if (!frozen) {
+            if (!paused) {
                 serve();
                 sendDueMessages();
             }
@@ -91,11 +91,11 @@
         }
 
         private boolean refuseIfExpired(long until) {
-            boolean over = now - until >= 0;
-            if (over) {
+            boolean expired = now - until >= 0;
+            if (expired) {
                 refuse(until);
             }
-            return over;
+            return expired;
         }
 
         private void refuse(long until) {
@@ -110,49 +110,49 @@
                     2,
                     () -> {
                         arrivals.add(now);
-                        OptionalDouble said = upstreamLimit;
-                        in(20, () -> answered(said, basis));
+                        OptionalDouble announced = upstreamLimit;
+                        in(20, () -> answered(announced, basis));
                     });
         }
 
-        void answered(OptionalDouble said, LimitRevision basis) {
-            if (frozen) {
-                in(20, () -> answered(said, basis));
+        void answered(OptionalDouble announced, LimitRevision basis) {
+            if (paused) {
+                in(20, () -> answered(announced, basis));
                 return;
             }
-            limits.observe(UPSTREAM, said, basis, now)
-                    .ifPresent(heard -> toControlHosts(keeper -> keeper.observe(heard)));
+            limits.observe(UPSTREAM, announced, basis, now)
+                    .ifPresent(seen -> toControlHosts(control -> control.observe(seen)));
         }
 
         void sendDueMessages() {
-            for (PermitRequest want : limits.dueRequests(now)) {
+            for (PermitRequest request : limits.dueRequests(now)) {
                 LimitUpdate known = limits.latestUpdate(UPSTREAM);
-                toControlHosts(keeper -> keeper.request(want, known));
+                toControlHosts(control -> control.request(request, known));
             }
             limits.dueObservations(now)
-                    .forEach(heard -> toControlHosts(keeper -> keeper.observe(heard)));
+                    .forEach(seen -> toControlHosts(control -> control.observe(seen)));
         }
 
         void report() {
-            if (!frozen) {
-                toControlHosts(keeper -> keeper.hostReported(id));
+            if (!paused) {
+                toControlHosts(control -> control.hostReported(id));
             }
         }
 
         private void toControlHosts(Consumer<ControlHost> message) {
-            for (ControlHost keeper : controlHosts) {
-                if (!cut) {
+            for (ControlHost control : controlHosts) {
+                if (!unreachable) {
                     frames++;
-                    in(delay(), () -> keeper.receive(message));
+                    in(delay(), () -> control.receive(message));
                 }
             }
         }
 
         void received(Runnable message) {
-            if (cut) {
+            if (unreachable) {
                 return;
             }
-            if (frozen) {
+            if (paused) {
                 in(20, () -> received(message));
                 return;
             }
@@ -183,31 +183,31 @@
             manager.hostReported(host, now);
         }
 
-        void observe(LimitObservation heard) {
+        void observe(LimitObservation observation) {
             if (leads) {
-                publish(manager.observe(heard, now));
+                publish(manager.observe(observation, now));
             }
         }
 
-        void request(PermitRequest want, LimitUpdate known) {
+        void request(PermitRequest request, LimitUpdate known) {
             if (leads) {
                 manager.receive(known);
-                answer(manager.request(want, now));
+                answer(manager.request(request, now));
             }
         }
 
         void tick() {
             if (leads && !down) {
-                LimitManager.Decisions step = manager.advance(now);
-                publish(step.updates());
-                answer(step.answers());
+                LimitManager.Decisions decisions = manager.advance(now);
+                publish(decisions.updates());
+                answer(decisions.answers());
             }
         }
 
-        private void publish(List<LimitUpdate> words) {
-            for (LimitUpdate word : words) {
-                hosts.forEach(host -> send(host, () -> host.limits.receive(word)));
-                controlHosts.forEach(other -> in(delay(), () -> other.manager.receive(word)));
+        private void publish(List<LimitUpdate> updates) {
+            for (LimitUpdate update : updates) {
+                hosts.forEach(host -> send(host, () -> host.limits.receive(update)));
+                controlHosts.forEach(other -> in(delay(), () -> other.manager.receive(update)));
             }
         }
 
@@ -220,7 +220,7 @@
         }
 
         private void send(Host host, Runnable message) {
-            if (!host.cut) {
+            if (!host.unreachable) {
                 frames++;
                 in(delay(), () -> host.received(message));
             }
@@ -241,7 +241,7 @@
             every(HOST_TICK, host::tick);
             every(REPORT_INTERVAL, host::report);
         }
-        controlHosts.forEach(keeper -> every(MANAGER_TICK, keeper::tick));
+        controlHosts.forEach(control -> every(MANAGER_TICK, control::tick));
     }
 
     private void every(long period, Runnable task) {
@@ -275,7 +275,7 @@
         return 1L + random.nextInt(4);
     }
 
-    /** Names a limit from a moment on; nothing ends it. */
+    /** Lets the upstream announce a limit from a given time on; empty ends it. */
     LimitSimulation limitFrom(Duration at, OptionalDouble limit) {
         return at(at, () -> upstreamLimit = limit);
     }
@@ -285,22 +285,24 @@
         return this;
     }
 
-    /** Cuts a share of the hosts off from all keepers for a time. */
+    /** Disconnects a fraction of the hosts from all control hosts for some time. */
     LimitSimulation cut(double share, Duration at, Duration time) {
         int count = (int) (share * hosts.size());
-        at(at, () -> hosts.subList(0, count).forEach(host -> host.cut = true));
-        return at(at.plus(time), () -> hosts.subList(0, count).forEach(host -> host.cut = false));
+        at(at, () -> hosts.subList(0, count).forEach(host -> host.unreachable = true));
+        return at(
+                at.plus(time),
+                () -> hosts.subList(0, count).forEach(host -> host.unreachable = false));
     }
 
-    /** Freezes a share of the hosts for a time. */
+    /** Pauses a fraction of the hosts for some time. */
     LimitSimulation freeze(double share, Duration at, Duration time) {
         int count = (int) Math.ceil(share * hosts.size());
-        at(at, () -> hosts.subList(0, count).forEach(host -> host.frozen = true));
+        at(at, () -> hosts.subList(0, count).forEach(host -> host.paused = true));
         return at(
-                at.plus(time), () -> hosts.subList(0, count).forEach(host -> host.frozen = false));
+                at.plus(time), () -> hosts.subList(0, count).forEach(host -> host.paused = false));
     }
 
-    /** Starts a share of the hosts anew. */
+    /** Restarts a fraction of the hosts. */
     LimitSimulation restart(double share, Duration at) {
         int count = (int) Math.ceil(share * hosts.size());
         return at(at, () -> hosts.subList(0, count).forEach(this::restartHost));
@@ -309,10 +311,11 @@
     private void restartHost(Host host) {
         host.start();
         host.limits.setHostCount(hosts.size());
-        controlHosts.getFirst().manager.table().all().forEach(word -> host.limits.receive(word));
+        List<LimitUpdate> known = List.copyOf(controlHosts.getFirst().manager.table().all());
+        known.forEach(host.limits::receive);
     }
 
-    /** Ends a leader; the next one begins after a time, with what it was told. */
+    /** Stops the leader; the next one starts after some time, with the updates that it received. */
     LimitSimulation loseLeader(Duration at, Duration time) {
         at(
                 at,
@@ -323,7 +326,7 @@
         return at(at.plus(time), () -> controlHosts.get(1).lead(2));
     }
 
-    /** Plays requests that come at a rate and only the upstream can serve. */
+    /** Simulates requests at a mean rate that only the upstream can serve. */
     LimitSimulation run(Duration length, double perSecond) {
         long next = 0;
         while (next < length.toNanos()) {
@@ -341,7 +344,7 @@
 
     private void request() {
         Host host = hosts.get(random.nextInt(hosts.size()));
-        if (host.frozen) {
+        if (host.paused) {
             return;
         }
         requests.add(now);
@@ -350,22 +353,22 @@
         host.sendDueMessages();
     }
 
-    /** Returns the most requests that came in four seconds, after a moment and before another. */
+    /** Returns the most requests at the upstream within any four seconds of an interval. */
     int worstFourSeconds(Duration from, Duration to) {
         return arrivals.worstFourSeconds(from, to);
     }
 
-    /** Returns how many requests a second came to the upstream in a time. */
+    /** Returns the mean requests per second that reached the upstream in an interval. */
     double perSecond(Duration from, Duration to) {
         return arrivals.count(from, to) / (to.minus(from).toMillis() / 1000.0);
     }
 
-    /** Returns how many requests came to hosts in a time. */
+    /** Returns how many requests arrived at hosts in an interval. */
     long requested(Duration from, Duration to) {
         return requests.count(from, to);
     }
 
-    /** Returns how many requests came to the upstream in a time. */
+    /** Returns how many requests reached the upstream in an interval. */
     long arrived(Duration from, Duration to) {
         return arrivals.count(from, to);
     }
@@ -374,18 +377,18 @@
         return frames;
     }
 
-    /** Lets requests wait for so long, and no longer. */
+    /** Sets how long requests wait at most. */
     LimitSimulation callerTimeout(Duration longest) {
         callerTimeout = longest.toNanos();
         return this;
     }
 
-    /** Returns how long a request that was sent had waited, in the mean. */
+    /** Returns the mean wait of the requests that were sent. */
     Duration meanWait() {
         return Duration.ofNanos(servedWaitNanos / Math.max(1, served));
     }
 
-    /** Returns how long a request that was refused had waited, in the mean. */
+    /** Returns the mean wait of the requests that were refused. */
     Duration meanWaitOfRefused() {
         return Duration.ofNanos(refusedWaitNanos / Math.max(1, refused));
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/LimitStrategiesTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/LimitStrategiesTest.java
@@ -10,9 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Three ways to keep a limit of one request a second over nine hosts, for requests that come three
- * times as often: a place in the leader's queue for each, asking the leader again and again, and a
- * fixed share of each host.
+ * Compares three ways to enforce a limit of one request per second over nine hosts, at three
+ * requests per second: queueing at the leader, retrying at the leader, and a fixed share per host.
  */
 class LimitStrategiesTest {
 
@@ -27,10 +26,10 @@
     private static final Duration LATENCY_OBJECTIVE = Duration.ofMillis(800);
 
     /**
-     * How a way did in the mean.
+     * Mean result of one strategy.
      *
-     * @param used the part of the limit that was used
-     * @param waitedMillis how long a request that was refused had waited
+     * @param used the fraction of the limit that was used
+     * @param refusedWaitMillis mean wait of the refused requests
      */
     private record Outcome(double used, double refusedWaitMillis) {}
 
@@ -45,7 +44,7 @@
         assertThat(asking.refusedWaitMillis()).isLessThan(shares.refusedWaitMillis());
     }
 
-    /** Those who wait beyond their objective only make all others late as well. */
+    /** Requests that wait beyond their latency objective only delay all others. */
     @Test
     void shortQueueServesAsManyRequestsSooner() {
         LimitSimulation longer = simulation(0).run(END, DEMAND);
@@ -57,19 +56,24 @@
     }
 
     private static Outcome queue(long seed) {
-        LimitSimulation play = simulation(seed).run(END, DEMAND);
-        return new Outcome(play.perSecond(FROM, END) / LIMIT, play.meanWaitOfRefused().toMillis());
+        LimitSimulation simulation = simulation(seed).run(END, DEMAND);
+        return new Outcome(
+                simulation.perSecond(FROM, END) / LIMIT, simulation.meanWaitOfRefused().toMillis());
     }
 
     private static Outcome retrying(long seed) {
-        RetryingHostsSimulation play = new RetryingHostsSimulation(seed, LIMIT).run(END, DEMAND);
-        return new Outcome(play.perSecond(FROM, END) / LIMIT, play.meanWaitOfRefused().toMillis());
+        RetryingHostsSimulation simulation =
+                new RetryingHostsSimulation(seed, LIMIT).run(END, DEMAND);
+        return new Outcome(
+                simulation.perSecond(FROM, END) / LIMIT, simulation.meanWaitOfRefused().toMillis());
     }
 
-    /** What hosts do that no leader answers. */
+    /** Hosts send fixed shares when no leader answers. */
     private static Outcome fixedShares(long seed) {
-        LimitSimulation play = simulation(seed).cut(1, Duration.ofSeconds(3), END).run(END, DEMAND);
-        return new Outcome(play.perSecond(FROM, END) / LIMIT, play.meanWaitOfRefused().toMillis());
+        LimitSimulation simulation =
+                simulation(seed).cut(1, Duration.ofSeconds(3), END).run(END, DEMAND);
+        return new Outcome(
+                simulation.perSecond(FROM, END) / LIMIT, simulation.meanWaitOfRefused().toMillis());
     }
 
     private static Outcome mean(LongFunction<Outcome> way) {
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/LimitedUpstreamsTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/LimitedUpstreamsTest.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** What one host sends to an upstream that has named a limit. */
+/** Tests what one host sends to an upstream that has announced a limit. */
 class LimitedUpstreamsTest {
 
     private static final UpstreamId UPSTREAM = new UpstreamId("i-1");
@@ -27,7 +27,7 @@
         assertThat(limits.allows(UPSTREAM, now)).isTrue();
         assertThat(named(2, LimitRevision.none())).isTrue();
         assertThat(limits.allows(UPSTREAM, now)).isFalse();
-        assertThat(named(2, LimitRevision.none())).as("told once").isFalse();
+        assertThat(named(2, LimitRevision.none())).as("reported once").isFalse();
         now += 400 * MILLI;
         assertThat(limits.dueObservations(now)).hasSize(1);
         limits.receive(update(OptionalDouble.of(2), FIRST));
@@ -42,7 +42,7 @@
         assertThat(limits.observe(UPSTREAM, OptionalDouble.empty(), LimitRevision.none(), now))
                 .isEmpty();
         assertThat(limits.observe(UPSTREAM, OptionalDouble.empty(), FIRST, now)).isPresent();
-        assertThat(limits.allows(UPSTREAM, now)).as("until the keeper says so").isFalse();
+        assertThat(limits.allows(UPSTREAM, now)).as("until the leader confirms it").isFalse();
         limits.receive(update(OptionalDouble.empty(), SECOND));
         assertThat(limits.allows(UPSTREAM, now)).isTrue();
     }
@@ -59,9 +59,9 @@
         limits.receive(update(OptionalDouble.of(2), FIRST));
         limits.awaitPermit(UPSTREAM, now);
         limits.awaitPermit(UPSTREAM, now);
-        PermitRequest want = limits.dueRequests(now).getFirst();
-        assertThat(want.exclusive()).isEqualTo(2);
-        assertThat(limits.receiveAnswer(granted(want.requestedAt()), now)).isTrue();
+        PermitRequest request = limits.dueRequests(now).getFirst();
+        assertThat(request.exclusive()).isEqualTo(2);
+        assertThat(limits.receiveAnswer(granted(request.requestedAt()), now)).isTrue();
         assertThat(limits.allows(UPSTREAM, now)).isTrue();
         limits.sent(UPSTREAM, now);
         assertThat(limits.allows(UPSTREAM, now)).isFalse();
@@ -71,10 +71,10 @@
     void expiredPermitIsReturned() {
         limits.receive(update(OptionalDouble.of(2), FIRST));
         limits.awaitPermit(UPSTREAM, now);
-        PermitRequest want = limits.dueRequests(now).getFirst();
+        PermitRequest request = limits.dueRequests(now).getFirst();
         now += 1500 * MILLI;
-        assertThat(limits.receiveAnswer(granted(want.requestedAt()), now))
-                .as("frozen meanwhile")
+        assertThat(limits.receiveAnswer(granted(request.requestedAt()), now))
+                .as("process paused meanwhile")
                 .isFalse();
         assertThat(limits.allows(UPSTREAM, now)).isFalse();
         assertThat(limits.dueRequests(now).getFirst().returned()).isEqualTo(1);
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/RetryingHostsSimulation.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/RetryingHostsSimulation.java
@@ -17,8 +17,8 @@
 import java.util.Set;
 
 /**
- * Another way to keep a limit, for comparison: each request asks the leader, as for a customer's
- * allowance, and asks again at the time that it is told.
+ * Simulates an alternative way to enforce a limit, for comparison: each request asks the leader, as
+ * for a customer's allowance, and retries at the time that the leader names.
  */
 final class RetryingHostsSimulation {
 
@@ -43,7 +43,9 @@
         keeper.customers(new Customers(List.of(one)), 0);
     }
 
-    /** Plays requests that come at a rate and only the upstream can serve. */
+    /**
+     * Simulates requests that arrive at random at a mean rate and that only the upstream can serve.
+     */
     RetryingHostsSimulation run(Duration length, double perSecond) {
         long next = 0;
         while (next < length.toNanos()) {
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/package-info.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/package-info.java
@@ -1,2 +1,2 @@
-/** Limits that upstreams name, in virtual time. */
+/** Tests of the limits that upstreams announce, in virtual time. */
 package io.stackhall.core.limit;
