--- a/stackhall-core/src/main/java/io/stackhall/core/backpressure/Backpressure.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/backpressure/Backpressure.java
@@ -47,18 +47,18 @@
     }
 
     /** Returns how much longer this host keeps away from an upstream that wants rest. */
-    public Duration restLeft(UpstreamId id, long now) {
-        return rests.left(id, now);
+    public Duration remainingRest(UpstreamId id, long now) {
+        return rests.remaining(id, now);
     }
 
     /** Returns when one more caller that is turned back for an upstream's rest may come again. */
-    public Duration callerReturns(UpstreamId id, long now) {
-        return rests.callerReturns(id, now);
+    public Duration callerRetryDelay(UpstreamId id, long now) {
+        return rests.callerRetryDelay(id, now);
     }
 
     /** Returns whether this host keeps away from an upstream that wants rest. */
-    public boolean rests(UpstreamId id, long now) {
-        return rests.rests(id, now);
+    public boolean isResting(UpstreamId id, long now) {
+        return rests.isResting(id, now);
     }
 
     /** Notes that a request waits for a permit, and returns when it may expect one. */
@@ -67,24 +67,24 @@
     }
 
     /** Notes that a request which others serve could be sent to an upstream with a limit. */
-    public void spare(UpstreamId id, long now) {
+    public void requestOptionalPermit(UpstreamId id, long now) {
         limits.requestOptionalPermit(id, now);
     }
 
     /** Returns whether such a request should ask for a permit. */
-    public boolean spareDue(UpstreamId id, long now) {
+    public boolean optionalRequestDue(UpstreamId id, long now) {
         return limits.optionalRequestDue(id, now);
     }
 
     /** Notes that an upstream wants nothing from this host for some time. */
-    public void wantsRest(UpstreamId id, Duration time, long now) {
-        rests.wantsRest(id, time, now);
+    public void startRest(UpstreamId id, Duration time, long now) {
+        rests.startRest(id, time, now);
         limits.returnPermit(id, now);
     }
 
     /** Notes that an upstream has turned a request away and does not say for how long. */
-    public void turnedAway(UpstreamId id, long now) {
-        refusals.turnedAway(id, now);
+    public void refused(UpstreamId id, long now) {
+        refusals.refused(id, now);
     }
 
     /** Notes that a request is sent to an upstream. */
@@ -115,7 +115,7 @@
     }
 
     /** Takes in how many hosts share the limits. */
-    public void shared(int hosts) {
+    public void setHostCount(int hosts) {
         limits.setHostCount(hosts);
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/backpressure/RefusingUpstreams.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/backpressure/RefusingUpstreams.java
@@ -15,10 +15,10 @@
 final class RefusingUpstreams {
 
     /** How long others go first after a single refusal. */
-    private static final Duration FIRST_PAUSE = Duration.ofMillis(500);
+    private static final Duration INITIAL_PAUSE = Duration.ofMillis(500);
 
     /** From there on others go first for no longer, so that it is tried again every few seconds. */
-    private static final int MOST_DOUBLINGS = 3;
+    private static final int MAX_DOUBLINGS = 3;
 
     private final Map<UpstreamId, Refusals> refusals = new HashMap<>();
 
@@ -26,11 +26,11 @@
     private record Refusals(int count, long until) {}
 
     /** Notes that an upstream has turned a request away. */
-    void turnedAway(UpstreamId id, long now) {
+    void refused(UpstreamId id, long now) {
         Refusals before = refusals.get(id);
         int count = before == null ? 0 : before.count();
         if (before == null || now - before.until() >= 0) {
-            long pause = FIRST_PAUSE.toNanos() << Math.min(count, MOST_DOUBLINGS);
+            long pause = INITIAL_PAUSE.toNanos() << Math.min(count, MAX_DOUBLINGS);
             refusals.put(id, new Refusals(count + 1, now + pause));
         }
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/backpressure/RestingUpstreams.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/backpressure/RestingUpstreams.java
@@ -21,16 +21,16 @@
 public final class RestingUpstreams {
 
     /** A host's return is put off by up to this share of the rest. */
-    private static final double SPREAD_SHARE = 0.25;
+    private static final double MAX_JITTER = 0.25;
 
     /** So many requests under way at once show that the upstream takes them again. */
-    private static final int WHOLE_WINDOW = 16;
+    private static final int FULL_WINDOW = 16;
 
     /** Upstreams refuse at once: a request that was not refused by then has been taken in. */
-    private static final long TAKEN_NANOS = Duration.ofMillis(100).toNanos();
+    private static final long ACCEPTED_AFTER_NANOS = Duration.ofMillis(100).toNanos();
 
     /** Callers that are turned back are told to come one after the other. */
-    private static final Duration BETWEEN_CALLERS = Duration.ofMillis(10);
+    private static final Duration CALLER_SPACING = Duration.ofMillis(10);
 
     private final RandomGenerator random;
     private final Map<UpstreamId, Rest> rests = new HashMap<>();
@@ -39,26 +39,26 @@
     private static final class Rest {
         private long until;
         private int window = 1;
-        private int underWay;
+        private int inFlight;
         private long lastSentAt;
-        private int turnedBack;
+        private int refusedCallers;
 
         /** Returns whether the host keeps away until a moment that is still to come. */
-        private boolean lasts(long now) {
+        private boolean isActive(long now) {
             return now - until < 0;
         }
 
-        private void beginAgain(long end, long now) {
-            if (!lasts(now) || end - until > 0) {
+        private void extend(long end, long now) {
+            if (!isActive(now) || end - until > 0) {
                 until = end;
             }
             window = 1;
-            underWay = 0;
-            turnedBack = 0;
+            inFlight = 0;
+            refusedCallers = 0;
         }
 
         /** Returns whether a request was sent since the rest has ended. */
-        private boolean isTrial(long sentAt) {
+        private boolean isAfterRest(long sentAt) {
             return sentAt - until >= 0;
         }
     }
@@ -69,49 +69,50 @@
     }
 
     /** Notes that an upstream has turned a request away and wants nothing more for some time. */
-    void wantsRest(UpstreamId id, Duration time, long now) {
+    void startRest(UpstreamId id, Duration time, long now) {
         if (time.isPositive()) {
             Rest rest = rests.computeIfAbsent(id, key -> new Rest());
-            double spread = 1 + SPREAD_SHARE * random.nextDouble();
-            rest.beginAgain(now + (long) (time.toNanos() * spread), now);
+            double spread = 1 + MAX_JITTER * random.nextDouble();
+            rest.extend(now + (long) (time.toNanos() * spread), now);
         }
     }
 
     /** Returns whether this host keeps away from an upstream altogether. */
-    boolean rests(UpstreamId id, long now) {
+    boolean isResting(UpstreamId id, long now) {
         Rest rest = rests.get(id);
-        return rest != null && rest.lasts(now);
+        return rest != null && rest.isActive(now);
     }
 
     /** Returns whether this host may send an upstream a request now. */
     boolean allows(UpstreamId id, long now) {
         Rest rest = rests.get(id);
         return rest == null
-                || (!rest.lasts(now)
-                        && (rest.underWay < rest.window || now - rest.lastSentAt > TAKEN_NANOS));
+                || (!rest.isActive(now)
+                        && (rest.inFlight < rest.window
+                                || now - rest.lastSentAt > ACCEPTED_AFTER_NANOS));
     }
 
     /** Returns how much longer this host keeps away from an upstream. */
-    Duration left(UpstreamId id, long now) {
+    Duration remaining(UpstreamId id, long now) {
         Rest rest = rests.get(id);
-        return rest == null || !rest.lasts(now)
+        return rest == null || !rest.isActive(now)
                 ? Duration.ZERO
                 : Duration.ofNanos(rest.until - now);
     }
 
     /** Returns when one more caller that is turned back for an upstream may come again. */
-    Duration callerReturns(UpstreamId id, long now) {
+    Duration callerRetryDelay(UpstreamId id, long now) {
         Rest rest = rests.get(id);
         return rest == null
                 ? Duration.ZERO
-                : left(id, now).plus(BETWEEN_CALLERS.multipliedBy(rest.turnedBack++));
+                : remaining(id, now).plus(CALLER_SPACING.multipliedBy(rest.refusedCallers++));
     }
 
     /** Notes that a request is sent to an upstream. */
     void sent(UpstreamId id, long now) {
         Rest rest = rests.get(id);
-        if (rest != null && rest.isTrial(now)) {
-            rest.underWay++;
+        if (rest != null && rest.isAfterRest(now)) {
+            rest.inFlight++;
             rest.lastSentAt = now;
         }
     }
@@ -123,12 +124,12 @@
      */
     void answered(UpstreamId id, long sentAt) {
         Rest rest = rests.get(id);
-        if (rest == null || !rest.isTrial(sentAt)) {
+        if (rest == null || !rest.isAfterRest(sentAt)) {
             return;
         }
-        rest.underWay = Math.max(0, rest.underWay - 1);
+        rest.inFlight = Math.max(0, rest.inFlight - 1);
         rest.window *= 2;
-        if (rest.window > WHOLE_WINDOW) {
+        if (rest.window > FULL_WINDOW) {
             rests.remove(id);
         }
     }
@@ -140,8 +141,8 @@
      */
     void unanswered(UpstreamId id, long sentAt) {
         Rest rest = rests.get(id);
-        if (rest != null && rest.isTrial(sentAt)) {
-            rest.underWay = Math.max(0, rest.underWay - 1);
+        if (rest != null && rest.isAfterRest(sentAt)) {
+            rest.inFlight = Math.max(0, rest.inFlight - 1);
         }
     }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/Dispatcher.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/Dispatcher.java
@@ -66,7 +66,7 @@
     /** Takes in how many hosts there are, which share what a cold instance bears. */
     public void shared(int hosts) {
         cold.shared(hosts);
-        backpressure.shared(hosts);
+        backpressure.setHostCount(hosts);
     }
 
     /** Takes over which zones' instances get nothing. */
@@ -226,7 +226,7 @@
     /** Notes that an instance wants nothing from this host for some time. */
     public void wantsRest(UpstreamId id, Duration time, long now) {
         if (instances.containsKey(id)) {
-            backpressure.wantsRest(id, time, now);
+            backpressure.startRest(id, time, now);
         }
     }
 
@@ -238,7 +238,7 @@
         if (need.model().isPresent()) {
             lacks(id, need, now);
         } else if (instances.containsKey(id)) {
-            backpressure.turnedAway(id, now);
+            backpressure.refused(id, now);
         }
     }
 
@@ -251,14 +251,14 @@
      */
     public Duration turnedBack(Choice choice, Duration after, long now) {
         if (choice instanceof Choice.Resting held && after.compareTo(held.left()) >= 0) {
-            return backpressure.callerReturns(held.instance().id(), now);
+            return backpressure.callerRetryDelay(held.instance().id(), now);
         }
         return after;
     }
 
     /** Returns whether an instance wants nothing from this host at present. */
     public boolean rests(UpstreamId id, long now) {
-        return backpressure.rests(id, now);
+        return backpressure.isResting(id, now);
     }
 
     /** Returns how many instances this host keeps away from, or is coming back to. */
@@ -271,7 +271,7 @@
         Instance instance = instances.get(id);
         return instance != null
                 && instance.state() == InstanceState.READY
-                && !backpressure.rests(id, now);
+                && !backpressure.isResting(id, now);
     }
 
     /** Notes that a request that was about to be sent was not written. */
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/InstanceChoice.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/InstanceChoice.java
@@ -149,7 +149,7 @@
     }
 
     private Duration left(Instance resting, Asked asked) {
-        return backpressure.restLeft(resting.id(), asked.now());
+        return backpressure.remainingRest(resting.id(), asked.now());
     }
 
     private static boolean isServed(Choice choice) {
@@ -187,8 +187,8 @@
     /** Only an answer can tell that a limit has ended, so that those with one are tried too. */
     private void askForSpare(List<Instance> limited, Asked asked) {
         limited.stream()
-                .filter(one -> backpressure.spareDue(one.id(), asked.now()))
+                .filter(one -> backpressure.optionalRequestDue(one.id(), asked.now()))
                 .filter(one -> takes(one, asked))
-                .forEach(one -> backpressure.spare(one.id(), asked.now()));
+                .forEach(one -> backpressure.requestOptionalPermit(one.id(), asked.now()));
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/backpressure/RestingUpstreamsTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/backpressure/RestingUpstreamsTest.java
@@ -19,35 +19,35 @@
     private final RestingUpstreams rests = new RestingUpstreams(new Random(1));
 
     @Test
-    void restIsKeptToItsEnd() {
-        rests.wantsRest(ID, REST, NOW);
+    void noRequestsAreSentUntilTheRestEnds() {
+        rests.startRest(ID, REST, NOW);
         assertThat(rests.allows(ID, NOW + REST.toNanos() - 1)).isFalse();
         assertThat(rests.allows(ID, NOW + 2 * REST.toNanos())).isTrue();
     }
 
     @Test
-    void laterEndOfTwoCounts() {
-        rests.wantsRest(ID, Duration.ofSeconds(10), NOW);
-        rests.wantsRest(ID, Duration.ofSeconds(1), NOW);
-        assertThat(rests.rests(ID, NOW + Duration.ofSeconds(9).toNanos())).isTrue();
+    void laterEndOfTwoRestsApplies() {
+        rests.startRest(ID, Duration.ofSeconds(10), NOW);
+        rests.startRest(ID, Duration.ofSeconds(1), NOW);
+        assertThat(rests.isResting(ID, NOW + Duration.ofSeconds(9).toNanos())).isTrue();
     }
 
     @Test
-    void restOfNoTimeIsNone() {
-        rests.wantsRest(ID, Duration.ZERO, NOW);
+    void restOfZeroDurationIsIgnored() {
+        rests.startRest(ID, Duration.ZERO, NOW);
         assertThat(rests.allows(ID, NOW)).isTrue();
         assertThat(rests.size()).isZero();
     }
 
     @Test
-    void nextLifeOwesNoRest() {
-        rests.wantsRest(ID, REST, NOW);
+    void newIncarnationHasNoRest() {
+        rests.startRest(ID, REST, NOW);
         assertThat(rests.allows(new UpstreamId("i-1", 2), NOW)).isTrue();
     }
 
     @Test
-    void requestsComeBackOneAtFirstAndTwiceAsManyAfterEachGoodAnswer() {
-        rests.wantsRest(ID, REST, NOW);
+    void windowStartsAtOneAndDoublesAfterEachAnswer() {
+        rests.startRest(ID, REST, NOW);
         long back = NOW + 2 * REST.toNanos();
         int window = 1;
         while (window <= 16) {
@@ -66,8 +66,8 @@
     }
 
     @Test
-    void requestThatIsNotTurnedAwayAtOnceIsFollowedByTheNext() {
-        rests.wantsRest(ID, REST, NOW);
+    void requestThatIsNotRefusedAtOnceIsFollowedByTheNext() {
+        rests.startRest(ID, REST, NOW);
         long back = NOW + 2 * REST.toNanos();
         rests.sent(ID, back);
         assertThat(rests.allows(ID, back + Duration.ofMillis(90).toNanos())).isFalse();
@@ -75,25 +75,25 @@
     }
 
     @Test
-    void upstreamStillInNeedHasTurnedOneRequestAway() {
-        rests.wantsRest(ID, REST, NOW);
+    void upstreamThatIsStillOverloadedRefusesOneRequestOnly() {
+        rests.startRest(ID, REST, NOW);
         long back = NOW + 2 * REST.toNanos();
         rests.sent(ID, back);
-        rests.wantsRest(ID, REST, back);
+        rests.startRest(ID, REST, back);
         rests.unanswered(ID, back);
-        assertThat(rests.rests(ID, back + REST.toNanos() - 1)).isTrue();
+        assertThat(rests.isResting(ID, back + REST.toNanos() - 1)).isTrue();
         long again = back + 2 * REST.toNanos();
         rests.sent(ID, again);
         assertThat(rests.allows(ID, again)).isFalse();
     }
 
     @Test
-    void hostsThatWereTurnedAwayTogetherComeBackAtMomentsOfTheirOwn() {
+    void hostsRefusedTogetherResumeAtDifferentTimes() {
         Set<Duration> ends = new HashSet<>();
         for (int host = 0; host < 20; host++) {
             RestingUpstreams one = new RestingUpstreams(new Random(host));
-            one.wantsRest(ID, REST, NOW);
-            ends.add(one.left(ID, NOW));
+            one.startRest(ID, REST, NOW);
+            ends.add(one.remaining(ID, NOW));
         }
         assertThat(ends).hasSize(20);
         assertThat(ends).allMatch(end -> end.compareTo(REST) >= 0);
@@ -101,10 +101,10 @@
     }
 
     @Test
-    void callersThatAreTurnedBackComeOneAfterTheOther() {
-        rests.wantsRest(ID, REST, NOW);
-        Duration first = rests.callerReturns(ID, NOW);
-        assertThat(first).isEqualTo(rests.left(ID, NOW));
-        assertThat(rests.callerReturns(ID, NOW)).isGreaterThan(first);
+    void refusedCallersGetIncreasingRetryDelays() {
+        rests.startRest(ID, REST, NOW);
+        Duration first = rests.callerRetryDelay(ID, NOW);
+        assertThat(first).isEqualTo(rests.remaining(ID, NOW));
+        assertThat(rests.callerRetryDelay(ID, NOW)).isGreaterThan(first);
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/LimitManagerProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/LimitManagerProperties.java
@@ -33,8 +33,8 @@
         LimitSimulation simulation =
                 new LimitSimulation(seed, hosts)
                         .limitFrom(LIMIT_FROM, OptionalDouble.of(limit))
-                        .cut(cut, Duration.ofMillis(cutAt), Duration.ofMillis(cutFor))
-                        .freeze(0.2, Duration.ofMillis(frozenAt), Duration.ofMillis(1500))
+                        .disconnect(cut, Duration.ofMillis(cutAt), Duration.ofMillis(cutFor))
+                        .pause(0.2, Duration.ofMillis(frozenAt), Duration.ofMillis(1500))
                         .restart(0.3, Duration.ofMillis(frozenAt + 2500))
                         .loseLeader(
                                 Duration.ofMillis(3000 + cutFor), Duration.ofMillis(leaderLostFor))
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/LimitSimulation.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/LimitSimulation.java
@@ -286,7 +286,7 @@
     }
 
     /** Disconnects a fraction of the hosts from all control hosts for some time. */
-    LimitSimulation cut(double share, Duration at, Duration time) {
+    LimitSimulation disconnect(double share, Duration at, Duration time) {
         int count = (int) (share * hosts.size());
         at(at, () -> hosts.subList(0, count).forEach(host -> host.unreachable = true));
         return at(
@@ -295,7 +295,7 @@
     }
 
     /** Pauses a fraction of the hosts for some time. */
-    LimitSimulation freeze(double share, Duration at, Duration time) {
+    LimitSimulation pause(double share, Duration at, Duration time) {
         int count = (int) Math.ceil(share * hosts.size());
         at(at, () -> hosts.subList(0, count).forEach(host -> host.paused = true));
         return at(
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/LimitStrategiesTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/LimitStrategiesTest.java
@@ -71,7 +71,7 @@
     /** Hosts send fixed shares when no leader answers. */
     private static Outcome fixedShares(long seed) {
         LimitSimulation simulation =
-                simulation(seed).cut(1, Duration.ofSeconds(3), END).run(END, DEMAND);
+                simulation(seed).disconnect(1, Duration.ofSeconds(3), END).run(END, DEMAND);
         return new Outcome(
                 simulation.perSecond(FROM, END) / LIMIT, simulation.meanWaitOfRefused().toMillis());
     }
