--- a/stackhall-core/src/main/java/io/stackhall/core/backpressure/Backpressure.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/backpressure/Backpressure.java
@@ -6,8 +6,8 @@
 import java.time.Duration;
 
 /**
- * What upstreams ask of one host, and the question that every request puts before it is sent: may
- * it go there now, and if not, from when on.
+ * Combines the ways in which upstreams slow one host down: limits, rests and plain refusals.
+ * Decides for each request whether it may be sent to an upstream now, and if not, when.
  *
  * <p>Not thread-safe: one thread uses it.
  */
@@ -17,25 +17,25 @@
     private final RestingUpstreams rests;
     private final RefusingUpstreams refusals = new RefusingUpstreams();
 
-    /** What keeps a host from sending an upstream a request now. */
+    /** Reason not to send an upstream a request now. */
     public enum Hold {
-        /** Nothing. */
+        /** The request may be sent. */
         NONE,
-        /** Nothing, but others go first: it turned the last request away. */
+        /** May be sent, but other upstreams are preferred: this one refused its last request. */
         COMES_LAST,
-        /** It needs a permit first. */
+        /** The upstream has a limit and the host holds no permit. */
         LIMIT,
-        /** The upstream wants nothing from this host yet. */
+        /** The upstream asked this host to send no requests for some time that has not passed. */
         REST
     }
 
-    /** Creates what holds a host back by limits and by rests. */
+    /** Creates the backpressure state of a host from its limits and rests. */
     public Backpressure(LimitedUpstreams limits, RestingUpstreams rests) {
         this.limits = limits;
         this.rests = rests;
     }
 
-    /** Returns what keeps this host from sending an upstream a request now. */
+    /** Returns why this host should not send an upstream a request now, if there is a reason. */
     public Hold hold(UpstreamId id, long now) {
         if (!rests.allows(id, now)) {
             return Hold.REST;
@@ -46,80 +46,84 @@
         return refusals.comesLast(id, now) ? Hold.COMES_LAST : Hold.NONE;
     }
 
-    /** Returns how much longer this host keeps away from an upstream that wants rest. */
+    /** Returns how much longer this host sends no requests to a resting upstream. */
     public Duration remainingRest(UpstreamId id, long now) {
         return rests.remaining(id, now);
     }
 
-    /** Returns when one more caller that is turned back for an upstream's rest may come again. */
+    /**
+     * Returns the retry delay of one more caller whose request is refused for an upstream's rest.
+     */
     public Duration callerRetryDelay(UpstreamId id, long now) {
         return rests.callerRetryDelay(id, now);
     }
 
-    /** Returns whether this host keeps away from an upstream that wants rest. */
+    /** Returns whether this host sends no requests to an upstream for its rest. */
     public boolean isResting(UpstreamId id, long now) {
         return rests.isResting(id, now);
     }
 
-    /** Notes that a request waits for a permit, and returns when it may expect one. */
+    /** Records a request that waits for a permit, and returns the expected waits. */
     public PermitWaits awaitPermit(UpstreamId id, long now) {
         return limits.awaitPermit(id, now);
     }
 
-    /** Notes that a request which others serve could be sent to an upstream with a limit. */
+    /**
+     * Records that a request which others can serve as well could be sent to a limited upstream.
+     */
     public void requestOptionalPermit(UpstreamId id, long now) {
         limits.requestOptionalPermit(id, now);
     }
 
-    /** Returns whether such a request should ask for a permit. */
+    /** Returns whether such a request should request an optional permit. */
     public boolean optionalRequestDue(UpstreamId id, long now) {
         return limits.optionalRequestDue(id, now);
     }
 
-    /** Notes that an upstream wants nothing from this host for some time. */
+    /** Starts a rest: an upstream asked this host to send no requests for some time. */
     public void startRest(UpstreamId id, Duration time, long now) {
         rests.startRest(id, time, now);
         limits.returnPermit(id, now);
     }
 
-    /** Notes that an upstream has turned a request away and does not say for how long. */
+    /** Records that an upstream refused a request without naming a time to retry. */
     public void refused(UpstreamId id, long now) {
         refusals.refused(id, now);
     }
 
-    /** Notes that a request is sent to an upstream. */
+    /** Records that a request is sent to an upstream. */
     public void sent(UpstreamId id, long now) {
         rests.sent(id, now);
         limits.sent(id, now);
     }
 
-    /** Notes that a request which counted as sent was not written. */
+    /** Records that a request reported as sent was not written. */
     public void notWritten(UpstreamId id) {
         limits.notWritten(id);
     }
 
-    /** Notes that an upstream has begun to answer a request that was sent at some moment. */
+    /** Records that an upstream has begun to answer a request that was sent at a given time. */
     public void answered(UpstreamId id, long sentAt) {
         rests.answered(id, sentAt);
         refusals.answered(id);
     }
 
-    /** Notes that a request that was sent at some moment has left an upstream without an answer. */
+    /** Records that a request that was sent at a given time ended without an answer. */
     public void unanswered(UpstreamId id, long sentAt) {
         rests.unanswered(id, sentAt);
     }
 
-    /** Returns how many upstreams this host keeps away from for a rest, or is coming back to. */
+    /** Returns the number of upstreams that rest or whose requests are being ramped up after it. */
     public int resting() {
         return rests.size();
     }
 
-    /** Takes in how many hosts share the limits. */
+    /** Sets how many hosts share the limits. */
     public void setHostCount(int hosts) {
         limits.setHostCount(hosts);
     }
 
-    /** Forgets an upstream that is gone. */
+    /** Removes an upstream that is gone. */
     public void forget(UpstreamId id) {
         limits.forget(id);
         rests.forget(id);
--- a/stackhall-core/src/main/java/io/stackhall/core/backpressure/RefusingUpstreams.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/backpressure/RefusingUpstreams.java
@@ -6,26 +6,26 @@
 import java.util.Map;
 
 /**
- * Which upstreams turn one host's requests away and do not say for how long. Others go before them
- * for a while, twice as long after each further refusal; where there is no other, they are asked
- * all the same, since one that is merely full has room again at any moment.
+ * Tracks upstreams that refuse one host's requests without naming a time to retry. Other upstreams
+ * are preferred for a pause that doubles with each further refusal. Where there is no other, the
+ * request is sent all the same, since an upstream that is merely full may accept it at any time.
  *
  * <p>Not thread-safe: one thread uses it.
  */
 final class RefusingUpstreams {
 
-    /** How long others go first after a single refusal. */
+    /** How long other upstreams are preferred after a single refusal. */
     private static final Duration INITIAL_PAUSE = Duration.ofMillis(500);
 
-    /** From there on others go first for no longer, so that it is tried again every few seconds. */
+    /** Limits the pause, so that the upstream is tried again every few seconds. */
     private static final int MAX_DOUBLINGS = 3;
 
     private final Map<UpstreamId, Refusals> refusals = new HashMap<>();
 
-    /** Refusals in a row, and until when others go first. */
+    /** Consecutive refusals, and until when other upstreams are preferred. */
     private record Refusals(int count, long until) {}
 
-    /** Notes that an upstream has turned a request away. */
+    /** Records that an upstream refused a request. */
     void refused(UpstreamId id, long now) {
         Refusals before = refusals.get(id);
         int count = before == null ? 0 : before.count();
@@ -35,18 +35,18 @@
         }
     }
 
-    /** Returns whether others go before an upstream. */
+    /** Returns whether other upstreams are preferred to an upstream. */
     boolean comesLast(UpstreamId id, long now) {
         Refusals known = refusals.get(id);
         return known != null && now - known.until() < 0;
     }
 
-    /** Notes that an upstream has taken a request in. */
+    /** Records that an upstream accepted a request. */
     void answered(UpstreamId id) {
         refusals.remove(id);
     }
 
-    /** Forgets an upstream that is gone. */
+    /** Removes an upstream that is gone. */
     void forget(UpstreamId id) {
         refusals.remove(id);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/backpressure/RestingUpstreams.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/backpressure/RestingUpstreams.java
@@ -7,35 +7,39 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which upstreams want nothing from one host for a while, and how the host comes back to them.
+ * Tracks upstreams that asked one host to send no requests for some time, a rest, and ramps
+ * requests up again afterwards.
  *
- * <p>Load pattern: an upstream in need turns every request away within a millisecond, and so has
- * less under way than any other. A host that chose by that alone would send it most of what comes.
+ * <p>Load pattern: an overloaded upstream refuses every request within a millisecond, and so has
+ * fewer requests in flight than any other. A host that balanced by that number alone would send it
+ * most requests.
  *
- * <p>When a rest ends, requests come back one at first and twice as many after each good answer, so
- * that an upstream that is still in need turns away one request and no queue of them. Hosts that
- * were turned away together come back at moments of their own.
+ * <p>When a rest ends, one request is sent at first, and the window doubles after each answer, so
+ * that an upstream that is still overloaded refuses one request and not a whole queue. A random
+ * delay keeps hosts that were refused together from returning together.
  *
  * <p>Not thread-safe: one thread uses it.
  */
 public final class RestingUpstreams {
 
-    /** A host's return is put off by up to this share of the rest. */
+    /** Largest random delay of a host's return, as a fraction of the rest. */
     private static final double MAX_JITTER = 0.25;
 
-    /** So many requests under way at once show that the upstream takes them again. */
+    /** A window beyond this many requests shows that the upstream accepts requests again. */
     private static final int FULL_WINDOW = 16;
 
-    /** Upstreams refuse at once: a request that was not refused by then has been taken in. */
+    /**
+     * Upstreams refuse at once: a request that is not refused within this time counts as accepted.
+     */
     private static final long ACCEPTED_AFTER_NANOS = Duration.ofMillis(100).toNanos();
 
-    /** Callers that are turned back are told to come one after the other. */
+    /** Difference between the retry delays of refused callers, so that they return one by one. */
     private static final Duration CALLER_SPACING = Duration.ofMillis(10);
 
     private final RandomGenerator random;
     private final Map<UpstreamId, Rest> rests = new HashMap<>();
 
-    /** A rest, and the return after it. */
+    /** A rest, and the ramp-up after it. */
     private static final class Rest {
         private long until;
         private int window = 1;
@@ -43,7 +47,7 @@
         private long lastSentAt;
         private int refusedCallers;
 
-        /** Returns whether the host keeps away until a moment that is still to come. */
+        /** Returns whether the rest has not ended yet. */
         private boolean isActive(long now) {
             return now - until < 0;
         }
@@ -57,27 +61,29 @@
             refusedCallers = 0;
         }
 
-        /** Returns whether a request was sent since the rest has ended. */
+        /** Returns whether a request was sent after the rest ended. */
         private boolean isAfterRest(long sentAt) {
             return sentAt - until >= 0;
         }
     }
 
-    /** Creates the rests of a host to which nobody has said anything. */
+    /** Creates the state of a host without rests. */
     public RestingUpstreams(RandomGenerator random) {
         this.random = random;
     }
 
-    /** Notes that an upstream has turned a request away and wants nothing more for some time. */
+    /**
+     * Starts or extends the rest of an upstream that refused a request and named a time to wait.
+     */
     void startRest(UpstreamId id, Duration time, long now) {
         if (time.isPositive()) {
             Rest rest = rests.computeIfAbsent(id, key -> new Rest());
-            double spread = 1 + MAX_JITTER * random.nextDouble();
-            rest.extend(now + (long) (time.toNanos() * spread), now);
+            double jitter = 1 + MAX_JITTER * random.nextDouble();
+            rest.extend(now + (long) (time.toNanos() * jitter), now);
         }
     }
 
-    /** Returns whether this host keeps away from an upstream altogether. */
+    /** Returns whether an upstream rests, so that this host sends it no requests. */
     boolean isResting(UpstreamId id, long now) {
         Rest rest = rests.get(id);
         return rest != null && rest.isActive(now);
@@ -92,7 +98,7 @@
                                 || now - rest.lastSentAt > ACCEPTED_AFTER_NANOS));
     }
 
-    /** Returns how much longer this host keeps away from an upstream. */
+    /** Returns how much longer the rest of an upstream lasts. */
     Duration remaining(UpstreamId id, long now) {
         Rest rest = rests.get(id);
         return rest == null || !rest.isActive(now)
@@ -100,7 +106,7 @@
                 : Duration.ofNanos(rest.until - now);
     }
 
-    /** Returns when one more caller that is turned back for an upstream may come again. */
+    /** Returns the retry delay of one more caller whose request is refused for a rest. */
     Duration callerRetryDelay(UpstreamId id, long now) {
         Rest rest = rests.get(id);
         return rest == null
@@ -108,7 +114,7 @@
                 : remaining(id, now).plus(CALLER_SPACING.multipliedBy(rest.refusedCallers++));
     }
 
-    /** Notes that a request is sent to an upstream. */
+    /** Records that a request is sent to an upstream. */
     void sent(UpstreamId id, long now) {
         Rest rest = rests.get(id);
         if (rest != null && rest.isAfterRest(now)) {
@@ -118,7 +124,7 @@
     }
 
     /**
-     * Notes that an upstream has taken a request in.
+     * Records that an upstream accepted a request.
      *
      * @param sentAt when the request was sent
      */
@@ -135,7 +141,7 @@
     }
 
     /**
-     * Notes that a request has left an upstream without an answer.
+     * Records that a request ended without an answer.
      *
      * @param sentAt when the request was sent
      */
@@ -146,12 +152,12 @@
         }
     }
 
-    /** Forgets an upstream that is gone. */
+    /** Removes an upstream that is gone. */
     void forget(UpstreamId id) {
         rests.remove(id);
     }
 
-    /** Returns how many upstreams this host keeps away from, or is coming back to. */
+    /** Returns the number of upstreams that rest or are being ramped up after a rest. */
     int size() {
         return rests.size();
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/backpressure/RestingUpstreamsTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/backpressure/RestingUpstreamsTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** How one host keeps away from upstreams that want rest, and comes back. */
+/** Tests how one host stops sending to resting upstreams, and ramps up again afterwards. */
 class RestingUpstreamsTest {
 
     private static final long NOW = Duration.ofSeconds(100).toNanos();
--- a/stackhall-core/src/test/java/io/stackhall/core/backpressure/package-info.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/backpressure/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of what upstreams ask of hosts. */
+/** Tests of the backpressure of upstreams on hosts. */
 package io.stackhall.core.backpressure;
