--- a/stackhall-core/src/main/java/io/stackhall/core/policy/ExpectedGainPolicy.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/ExpectedGainPolicy.java
@@ -20,10 +20,19 @@
  */
 public final class ExpectedGainPolicy implements PlacementPolicy {
 
+    /** Requests that arrive within this time count towards the value of an artifact. */
     private static final double HORIZON_SECONDS = 60;
+
+    /** Cost of a load, as a number of requests. */
     private static final double LOAD_COST_REQUESTS = 1;
+
+    /** Factor by which a further copy must gain more than its evictions lose. */
     private static final double GAIN_MARGIN = 1.5;
+
+    /** Fraction of the loss that counts where another copy stays resident. */
     private static final double FURTHER_COPY_LOSS_SHARE = 0.25;
+
+    /** Value gained per second by an artifact that is requested and resident nowhere. */
     private static final double STARVATION_VALUE_PER_SECOND = 1;
 
     /** Loads from the store that are kept available for requests that may arrive. */
@@ -35,6 +44,7 @@
      */
     private static final double MIN_IDLE_LOAD_RATE = 0.02;
 
+    /** An artifact is not evicted until it has been resident for this long. */
     private static final long MIN_RESIDENCE_NANOS = Duration.ofSeconds(6).toNanos();
 
     @Override
