--- a/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCoordinator.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCoordinator.java
@@ -8,7 +8,7 @@
 import io.stackhall.core.membership.Announcement;
 import io.stackhall.core.membership.Artifact;
 import io.stackhall.core.membership.Resident;
-import io.stackhall.core.policy.Move;
+import io.stackhall.core.policy.PlacementAction;
 import io.stackhall.core.policy.PlacementPolicy;
 import io.stackhall.core.policy.PlacementView;
 import java.time.Duration;
@@ -279,9 +279,9 @@
         decisionRequested = false;
         nextDecision = now + settings.decideEvery().toNanos();
         dropStaleProposals(now);
-        List<PlacementView.Seat> seats =
+        List<PlacementView.Engine> seats =
                 views.seats(reports.values(), state, busy(state), configuration, now);
-        List<PlacementView.Want> wants =
+        List<PlacementView.DeployedArtifact> wants =
                 PlacementViewBuilder.wants(
                         configuration.deployment(),
                         demand,
@@ -290,17 +290,20 @@
                         residentModels(),
                         now);
         int allowed = storeLimiter.availableLoads(runningLoads(state), now);
-        for (Move move : policy.decide(new PlacementView(seats, wants, allowed, now))) {
+        for (PlacementAction move : policy.decide(new PlacementView(seats, wants, allowed, now))) {
             apply(move, wants, state, now);
         }
         shadow.ifPresent(of -> of.decide(seats, configuration.deployment(), demand, now));
     }
 
     private void apply(
-            Move move, List<PlacementView.Want> wants, OrderLedger.State state, long now) {
+            PlacementAction move,
+            List<PlacementView.DeployedArtifact> wants,
+            OrderLedger.State state,
+            long now) {
         Announcement report = reports.get(move.upstream().value());
         switch (move) {
-            case Move.Load load -> {
+            case PlacementAction.Load load -> {
                 long memoryMib = memoryOf(load.artifact(), wants);
                 if (MemoryAccount.of(report, state).admits(memoryMib)) {
                     updateCounts(PlacementCounts::withLoad);
@@ -309,7 +312,7 @@
                     intend(report, Order.Kind.LOAD, load.artifact(), memoryMib, now);
                 }
             }
-            case Move.Unload unload -> {
+            case PlacementAction.Unload unload -> {
                 countIfNeedless(unload, now);
                 intend(report, Order.Kind.UNLOAD, unload.artifact(), 0, now);
             }
@@ -341,14 +344,14 @@
         counts.put(activePolicy(), change.apply(counts()));
     }
 
-    private void recordIfSpeculative(Move.Load load) {
+    private void recordIfSpeculative(PlacementAction.Load load) {
         if (!load.urgent()) {
             speculative.add(new Placement(load.upstream(), load.artifact()));
         }
     }
 
     /** Counts a load that no request waited for and that was unloaded before any request came. */
-    private void countIfNeedless(Move.Unload unload, long now) {
+    private void countIfNeedless(PlacementAction.Unload unload, long now) {
         long since = views.residentSince(unload.upstream(), unload.artifact(), now);
         boolean unused = demand.lastUsed(unload.artifact().id(), Long.MIN_VALUE) < since;
         if (speculative.remove(new Placement(unload.upstream(), unload.artifact())) && unused) {
@@ -376,10 +379,10 @@
         return (int) state.open().stream().filter(order -> order.kind() == Order.Kind.LOAD).count();
     }
 
-    private static long memoryOf(Artifact artifact, List<PlacementView.Want> wants) {
+    private static long memoryOf(Artifact artifact, List<PlacementView.DeployedArtifact> wants) {
         return wants.stream()
                 .filter(want -> want.artifact().equals(artifact))
-                .mapToLong(PlacementView.Want::memoryMib)
+                .mapToLong(PlacementView.DeployedArtifact::memoryMib)
                 .findFirst()
                 .orElseThrow(() -> new IllegalArgumentException(artifact + " is not deployed"));
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementViewBuilder.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementViewBuilder.java
@@ -48,13 +48,13 @@
         return residentSince.getOrDefault(upstream, Map.of()).getOrDefault(artifact, otherwise);
     }
 
-    List<PlacementView.Seat> seats(
+    List<PlacementView.Engine> seats(
             Collection<Announcement> reports,
             OrderLedger.State orders,
             Map<UpstreamId, Optional<Artifact>> busy,
             Configuration configuration,
             long now) {
-        List<PlacementView.Seat> seats = new ArrayList<>();
+        List<PlacementView.Engine> seats = new ArrayList<>();
         for (Announcement report : reports) {
             boolean leaving = report.leaving() || configuration.draining().contains(report.id());
             if (report.engine() && !leaving) {
@@ -64,7 +64,7 @@
         return seats;
     }
 
-    static List<PlacementView.Want> wants(
+    static List<PlacementView.DeployedArtifact> wants(
             Deployment deployment,
             DemandTracker demand,
             ToIntFunction<ModelId> waiting,
@@ -73,7 +73,7 @@
             long now) {
         Map<ModelId, Integer> forBase = new HashMap<>();
         Map<ModelId, Double> rateForBase = new HashMap<>();
-        List<PlacementView.Want> wants = new ArrayList<>();
+        List<PlacementView.DeployedArtifact> wants = new ArrayList<>();
         for (AdapterSpec adapter : deployment.adapters()) {
             int count = waiting.applyAsInt(adapter.id());
             rateForBase.merge(adapter.base(), demand.ratePerSecond(adapter.id(), now), Double::sum);
@@ -83,7 +83,7 @@
         }
         for (ModelSpec model : deployment.models()) {
             wants.add(
-                    new PlacementView.Want(
+                    new PlacementView.DeployedArtifact(
                             new Artifact(model.id(), model.version()),
                             model.memoryMib(),
                             Optional.empty(),
@@ -109,18 +109,20 @@
         return wants;
     }
 
-    private PlacementView.Seat seat(
+    private PlacementView.Engine seat(
             Announcement report,
             OrderLedger.State orders,
             Map<UpstreamId, Optional<Artifact>> busy,
             long now) {
         MemoryAccount account = MemoryAccount.of(report, orders);
-        List<PlacementView.Held> held = new ArrayList<>();
+        List<PlacementView.ResidentArtifact> held = new ArrayList<>();
         for (Resident resident : report.memory().resident()) {
             long since = residentSince(report.id(), resident.artifact(), now);
-            held.add(new PlacementView.Held(resident.artifact(), resident.memoryMib(), since));
+            held.add(
+                    new PlacementView.ResidentArtifact(
+                            resident.artifact(), resident.memoryMib(), since));
         }
-        return new PlacementView.Seat(
+        return new PlacementView.Engine(
                 report.id(),
                 account.freeMib(),
                 report.load().slots(),
@@ -129,7 +131,7 @@
                 busy.getOrDefault(report.id(), Optional.empty()));
     }
 
-    private static PlacementView.Want want(
+    private static PlacementView.DeployedArtifact want(
             Deployment deployment,
             AdapterSpec adapter,
             DemandTracker demand,
@@ -140,7 +142,7 @@
                 deployment
                         .model(adapter.base())
                         .map(model -> new Artifact(model.id(), model.version()));
-        return new PlacementView.Want(
+        return new PlacementView.DeployedArtifact(
                 new Artifact(adapter.id(), ADAPTER_VERSION),
                 adapter.memoryMib(),
                 base,
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/ExpectedGainPolicy.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/ExpectedGainPolicy.java
@@ -10,170 +10,194 @@
 import java.util.Set;
 
 /**
- * Weighs the requests that a load is expected to serve against those that the evicted artifacts are
- * expected to lose.
+ * Compares the requests that a load is expected to serve with those that its evictions are expected
+ * to lose.
  *
- * <p>A model that requests wait for is loaded where the expected loss is least; it is never refused
- * for good, so that every model stays reachable. A further copy must earn its cost by a margin.
- * What has just been loaded stays for a least time, so that two models do not swap for ever. Idle
- * loads only take memory that is free.
+ * <p>A model with waiting requests is loaded where the expected loss is least. It is loaded in the
+ * end however small its demand, so that every model stays reachable. A further copy must gain more
+ * than its cost by a margin. A loaded artifact stays for a minimum time, so that two models do not
+ * evict each other endlessly. Loads without waiting requests only use free memory.
  */
 public final class ExpectedGainPolicy implements PlacementPolicy {
 
+    /** Requests that arrive within this time count towards the value of an artifact. */
     private static final double HORIZON_SECONDS = 60;
-    private static final double MOVE_COST_REQUESTS = 1;
-    private static final double MARGIN = 1.5;
-    private static final double SPARE_COPY_LOSS_SHARE = 0.25;
-    private static final double STARVED_REQUESTS_PER_SECOND = 1;
 
-    /** Loads that idle copies leave to requests that may come. */
-    private static final int SPARED_LOADS = 4;
+    /** Cost of a load, as a number of requests. */
+    private static final double LOAD_COST_REQUESTS = 1;
 
-    /** Where not everything fits, what is asked for less often is only loaded on demand. */
-    private static final double IDLE_RATE = 0.02;
+    /** Factor by which a further copy must gain more than its evictions lose. */
+    private static final double GAIN_MARGIN = 1.5;
 
-    private static final long LEAST_RESIDENCE_NANOS = Duration.ofSeconds(6).toNanos();
+    /** Fraction of the loss that counts where another copy stays resident. */
+    private static final double FURTHER_COPY_LOSS_SHARE = 0.25;
+
+    /** Value gained per second by an artifact that is requested and resident nowhere. */
+    private static final double STARVATION_VALUE_PER_SECOND = 1;
+
+    /** Loads from the store that are kept available for requests that may arrive. */
+    private static final int RESERVED_LOADS = 4;
+
+    /**
+     * If the deployment does not fit into memory, artifacts with fewer requests per second are
+     * loaded only on demand.
+     */
+    private static final double MIN_IDLE_LOAD_RATE = 0.02;
+
+    /** An artifact is not evicted until it has been resident for this long. */
+    private static final long MIN_RESIDENCE_NANOS = Duration.ofSeconds(6).toNanos();
 
     @Override
-    public List<Move> decide(PlacementView view) {
-        Planning planning = new Planning(view);
-        planning.dropObsolete();
-        boolean everythingFits = planning.everythingFits();
-        view.wants().stream()
-                .filter(want -> want.waiting() > 0)
+    public List<PlacementAction> decide(PlacementView view) {
+        PlacementPlan plan = new PlacementPlan(view);
+        plan.dropObsolete();
+        boolean everythingFits = plan.everythingFits();
+        view.deployed().stream()
+                .filter(deployed -> deployed.waiting() > 0)
                 .sorted(Comparator.comparingDouble(ExpectedGainPolicy::valueDensity).reversed())
-                .forEach(want -> serveWaiting(planning, want));
-        view.wants().stream()
-                .filter(want -> planning.copies(want.artifact()) < want.floor())
-                .filter(want -> everythingFits || want.ratePerSecond() > IDLE_RATE)
+                .forEach(deployed -> serveWaiting(plan, deployed));
+        view.deployed().stream()
+                .filter(deployed -> plan.copies(deployed.artifact()) < deployed.floor())
+                .filter(deployed -> everythingFits || deployed.ratePerSecond() > MIN_IDLE_LOAD_RATE)
                 .sorted(Comparator.comparingDouble(ExpectedGainPolicy::valueDensity).reversed())
-                .forEach(want -> fillFree(planning, want));
-        return planning.moves();
+                .forEach(deployed -> loadIntoFreeMemory(plan, deployed));
+        return plan.actions();
     }
 
-    /** A room that can be made on one seat, and what it is expected to cost. */
-    private record Room(PlacementView.Seat seat, List<Artifact> evicted, double loss) {}
+    /** A possible load on one engine: the evictions it needs and their expected loss. */
+    private record LoadOption(PlacementView.Engine engine, List<Artifact> evicted, double loss) {}
 
-    private static void serveWaiting(Planning planning, PlacementView.Want want) {
-        if (planning.planned(want.artifact())) {
+    private static void serveWaiting(PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        if (plan.hasPendingLoad(deployed.artifact())) {
             return;
         }
-        Optional<Room> cheapest = cheapestRoom(planning, want);
-        if (cheapest.isEmpty() || !earns(planning, want, cheapest.get())) {
+        Optional<LoadOption> cheapest = cheapestOption(plan, deployed);
+        if (cheapest.isEmpty() || !gainsEnough(plan, deployed, cheapest.get())) {
             return;
         }
-        Room room = cheapest.get();
-        if (!room.evicted().isEmpty()) {
-            planning.unload(room.seat(), room.evicted().getFirst());
-        } else if (planning.loadsLeft() > 0) {
-            planning.load(room.seat(), want);
+        LoadOption option = cheapest.get();
+        if (!option.evicted().isEmpty()) {
+            plan.unload(option.engine(), option.evicted().getFirst());
+        } else if (plan.loadsLeft() > 0) {
+            plan.load(option.engine(), deployed);
         }
     }
 
     /**
-     * Returns whether a load is worth what it evicts. A model that is nowhere gains weight as it
-     * starves, so that it is loaded in the end however little it is asked for; a further copy must
-     * earn its cost by a margin.
+     * Returns whether a load gains more than its evictions lose. The gain of a model that is
+     * resident nowhere grows with the time it is starved, so that it is loaded in the end however
+     * small its demand; a further copy must gain more than its cost by a margin.
      */
-    private static boolean earns(Planning planning, PlacementView.Want want, Room room) {
-        if (planning.copies(want.artifact()) == 0) {
-            double gain = value(want) + want.starvedSeconds() * STARVED_REQUESTS_PER_SECOND;
-            return room.evicted().isEmpty() || gain > room.loss();
+    private static boolean gainsEnough(
+            PlacementPlan plan, PlacementView.DeployedArtifact deployed, LoadOption option) {
+        if (plan.copies(deployed.artifact()) == 0) {
+            double gain = value(deployed) + deployed.starvedSeconds() * STARVATION_VALUE_PER_SECOND;
+            return option.evicted().isEmpty() || gain > option.loss();
         }
         int slots =
-                planning.view().seats().stream()
-                        .filter(seat -> seat.holds(want.artifact()))
-                        .mapToInt(PlacementView.Seat::slots)
+                plan.view().engines().stream()
+                        .filter(engine -> engine.holds(deployed.artifact()))
+                        .mapToInt(PlacementView.Engine::slots)
                         .sum();
-        double unserved = want.waiting() - slots;
-        return unserved > MARGIN * room.loss() + MOVE_COST_REQUESTS;
+        double unserved = deployed.waiting() - slots;
+        return unserved > GAIN_MARGIN * option.loss() + LOAD_COST_REQUESTS;
     }
 
-    private static void fillFree(Planning planning, PlacementView.Want want) {
-        if (planning.loadsLeft() > SPARED_LOADS && !planning.planned(want.artifact())) {
-            StaticPolicy.roomiest(planning, want).ifPresent(seat -> planning.load(seat, want));
+    private static void loadIntoFreeMemory(
+            PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        if (plan.loadsLeft() > RESERVED_LOADS && !plan.hasPendingLoad(deployed.artifact())) {
+            StaticPolicy.engineWithMostFreeMemory(plan, deployed)
+                    .ifPresent(engine -> plan.load(engine, deployed));
         }
     }
 
-    private static Optional<Room> cheapestRoom(Planning planning, PlacementView.Want want) {
-        return planning.view().seats().stream()
-                .filter(planning::available)
-                .filter(seat -> planning.baseReady(seat, want))
-                .filter(seat -> !seat.holds(want.artifact()))
-                .flatMap(seat -> roomOn(planning, seat, want).stream())
-                .min(Comparator.comparingDouble(Room::loss));
+    private static Optional<LoadOption> cheapestOption(
+            PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        return plan.view().engines().stream()
+                .filter(plan::available)
+                .filter(engine -> plan.baseReady(engine, deployed))
+                .filter(engine -> !engine.holds(deployed.artifact()))
+                .flatMap(engine -> optionOn(plan, engine, deployed).stream())
+                .min(Comparator.comparingDouble(LoadOption::loss));
     }
 
-    /** Evicts by least loss for each MiB until the artifact fits. */
-    private static Optional<Room> roomOn(
-            Planning planning, PlacementView.Seat seat, PlacementView.Want want) {
-        long missing = want.memoryMib() - seat.freeMib();
-        List<Bundle> candidates =
-                seat.held().stream()
-                        .map(held -> bundle(planning, seat, held))
-                        .filter(bundle -> evictable(planning, bundle, want))
-                        .sorted(Comparator.comparingDouble(Bundle::lossDensity))
+    /** Selects evictions by least loss per MiB until the artifact fits. */
+    private static Optional<LoadOption> optionOn(
+            PlacementPlan plan,
+            PlacementView.Engine engine,
+            PlacementView.DeployedArtifact deployed) {
+        long missingMib = deployed.memoryMib() - engine.freeMib();
+        List<EvictionUnit> candidates =
+                engine.resident().stream()
+                        .map(resident -> evictionUnit(plan, engine, resident))
+                        .filter(unit -> evictable(plan, unit, deployed))
+                        .sorted(Comparator.comparingDouble(EvictionUnit::lossDensity))
                         .toList();
         Set<Artifact> evicted = new LinkedHashSet<>();
         double loss = 0;
-        for (Bundle bundle : candidates) {
-            for (PlacementView.Held held : bundle.inOrder()) {
-                if (missing > 0 && evicted.add(held.artifact())) {
-                    missing -= held.memoryMib();
-                    loss += loss(planning, held);
+        for (EvictionUnit unit : candidates) {
+            for (PlacementView.ResidentArtifact resident : unit.inOrder()) {
+                if (missingMib > 0 && evicted.add(resident.artifact())) {
+                    missingMib -= resident.memoryMib();
+                    loss += loss(plan, resident);
                 }
             }
         }
-        return missing <= 0
-                ? Optional.of(new Room(seat, List.copyOf(evicted), loss))
+        return missingMib <= 0
+                ? Optional.of(new LoadOption(engine, List.copyOf(evicted), loss))
                 : Optional.empty();
     }
 
     /**
-     * What goes together: an artifact, and before it the adapters that it carries.
+     * Artifacts that are evicted together: a model, and before it the adapters that depend on it.
      *
      * @param inOrder the order of eviction
-     * @param lossDensity the expected loss for each MiB
+     * @param lossDensity the expected loss per MiB
      */
-    private record Bundle(List<PlacementView.Held> inOrder, double lossDensity) {}
-
-    private static Bundle bundle(
-            Planning planning, PlacementView.Seat seat, PlacementView.Held held) {
-        List<PlacementView.Held> inOrder =
-                new ArrayList<>(planning.adaptersOn(seat, held.artifact()));
-        inOrder.add(held);
-        double loss = inOrder.stream().mapToDouble(item -> loss(planning, item)).sum();
-        long memoryMib = inOrder.stream().mapToLong(PlacementView.Held::memoryMib).sum();
-        return new Bundle(inOrder, loss / Math.max(1, memoryMib));
+    private record EvictionUnit(List<PlacementView.ResidentArtifact> inOrder, double lossDensity) {}
+
+    private static EvictionUnit evictionUnit(
+            PlacementPlan plan,
+            PlacementView.Engine engine,
+            PlacementView.ResidentArtifact resident) {
+        List<PlacementView.ResidentArtifact> inOrder =
+                new ArrayList<>(plan.adaptersOn(engine, resident.artifact()));
+        inOrder.add(resident);
+        double loss = inOrder.stream().mapToDouble(item -> loss(plan, item)).sum();
+        long memoryMib =
+                inOrder.stream().mapToLong(PlacementView.ResidentArtifact::memoryMib).sum();
+        return new EvictionUnit(inOrder, loss / Math.max(1, memoryMib));
     }
 
-    private static boolean evictable(Planning planning, Bundle bundle, PlacementView.Want want) {
-        PlacementView.Held last = bundle.inOrder().getLast();
+    private static boolean evictable(
+            PlacementPlan plan, EvictionUnit unit, PlacementView.DeployedArtifact deployed) {
+        PlacementView.ResidentArtifact last = unit.inOrder().getLast();
         boolean isBase =
-                want.base().isPresent() && want.base().get().id().equals(last.artifact().id());
+                deployed.base().isPresent()
+                        && deployed.base().get().id().equals(last.artifact().id());
         boolean settled =
-                bundle.inOrder().stream()
+                unit.inOrder().stream()
                         .allMatch(
-                                held ->
-                                        planning.view().now() - held.since()
-                                                >= LEAST_RESIDENCE_NANOS);
+                                resident ->
+                                        plan.view().now() - resident.since()
+                                                >= MIN_RESIDENCE_NANOS);
         return !isBase && settled;
     }
 
-    private static double loss(Planning planning, PlacementView.Held held) {
+    private static double loss(PlacementPlan plan, PlacementView.ResidentArtifact resident) {
         double expected =
-                planning.want(held.artifact().id())
-                        .map(want -> value(want) + MOVE_COST_REQUESTS)
+                plan.deployed(resident.artifact().id())
+                        .map(deployed -> value(deployed) + LOAD_COST_REQUESTS)
                         .orElse(0.0);
-        boolean spare = planning.copies(held.artifact()) > 1;
-        return spare ? expected * SPARE_COPY_LOSS_SHARE : expected;
+        boolean spare = plan.copies(resident.artifact()) > 1;
+        return spare ? expected * FURTHER_COPY_LOSS_SHARE : expected;
     }
 
-    private static double valueDensity(PlacementView.Want want) {
-        return value(want) / Math.max(1, want.memoryMib());
+    private static double valueDensity(PlacementView.DeployedArtifact deployed) {
+        return value(deployed) / Math.max(1, deployed.memoryMib());
     }
 
-    private static double value(PlacementView.Want want) {
-        return want.ratePerSecond() * HORIZON_SECONDS + want.waiting();
+    private static double value(PlacementView.DeployedArtifact deployed) {
+        return deployed.ratePerSecond() * HORIZON_SECONDS + deployed.waiting();
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/LeastRecentlyUsedPolicy.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/LeastRecentlyUsedPolicy.java
@@ -5,77 +5,90 @@
 import java.util.Optional;
 
 /**
- * A baseline: loads an artifact when a request misses it, and makes room by evicting whatever was
- * used longest ago.
+ * A baseline: loads an artifact when a request finds it on no engine, and makes room by evicting
+ * the least recently used artifacts.
  */
 public final class LeastRecentlyUsedPolicy implements PlacementPolicy {
 
     @Override
-    public List<Move> decide(PlacementView view) {
-        Planning planning = new Planning(view);
-        planning.dropObsolete();
-        view.wants().stream()
-                .filter(want -> want.waiting() > 0 && planning.copies(want.artifact()) == 0)
-                .sorted(Comparator.comparingInt(PlacementView.Want::waiting).reversed())
-                .forEach(want -> serve(planning, want));
-        return planning.moves();
+    public List<PlacementAction> decide(PlacementView view) {
+        PlacementPlan plan = new PlacementPlan(view);
+        plan.dropObsolete();
+        view.deployed().stream()
+                .filter(deployed -> deployed.waiting() > 0 && plan.copies(deployed.artifact()) == 0)
+                .sorted(Comparator.comparingInt(PlacementView.DeployedArtifact::waiting).reversed())
+                .forEach(deployed -> loadOrEvict(plan, deployed));
+        return plan.actions();
     }
 
-    private static void serve(Planning planning, PlacementView.Want want) {
-        if (planning.planned(want.artifact())) {
+    private static void loadOrEvict(PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        if (plan.hasPendingLoad(deployed.artifact())) {
             return;
         }
-        Optional<PlacementView.Seat> room = StaticPolicy.roomiest(planning, want);
-        if (room.isPresent()) {
-            if (planning.loadsLeft() > 0) {
-                planning.load(room.get(), want);
+        Optional<PlacementView.Engine> withMemory =
+                StaticPolicy.engineWithMostFreeMemory(plan, deployed);
+        if (withMemory.isPresent()) {
+            if (plan.loadsLeft() > 0) {
+                plan.load(withMemory.get(), deployed);
             }
             return;
         }
-        evict(planning, want);
+        evict(plan, deployed);
     }
 
-    private static void evict(Planning planning, PlacementView.Want want) {
-        planning.view().seats().stream()
-                .filter(planning::available)
-                .filter(seat -> planning.baseReady(seat, want))
-                .filter(seat -> seat.freeMib() + heldMib(seat, want) >= want.memoryMib())
-                .min(Comparator.comparingLong(seat -> oldestUse(planning, seat, want)))
+    private static void evict(PlacementPlan plan, PlacementView.DeployedArtifact deployed) {
+        plan.view().engines().stream()
+                .filter(plan::available)
+                .filter(engine -> plan.baseReady(engine, deployed))
+                .filter(
+                        engine ->
+                                engine.freeMib() + evictableMib(engine, deployed)
+                                        >= deployed.memoryMib())
+                .min(Comparator.comparingLong(engine -> leastRecentUse(plan, engine, deployed)))
                 .ifPresent(
-                        seat ->
-                                oldest(planning, seat, want)
-                                        .ifPresent(held -> planning.unload(seat, held.artifact())));
+                        engine ->
+                                leastRecentlyUsed(plan, engine, deployed)
+                                        .ifPresent(
+                                                resident ->
+                                                        plan.unload(engine, resident.artifact())));
     }
 
-    private static long heldMib(PlacementView.Seat seat, PlacementView.Want want) {
-        return seat.held().stream()
-                .filter(held -> !isBase(held, want))
-                .mapToLong(PlacementView.Held::memoryMib)
+    private static long evictableMib(
+            PlacementView.Engine engine, PlacementView.DeployedArtifact deployed) {
+        return engine.resident().stream()
+                .filter(resident -> !isBase(resident, deployed))
+                .mapToLong(PlacementView.ResidentArtifact::memoryMib)
                 .sum();
     }
 
-    private static long oldestUse(
-            Planning planning, PlacementView.Seat seat, PlacementView.Want want) {
-        return oldest(planning, seat, want)
-                .map(held -> lastUsed(planning, held))
+    private static long leastRecentUse(
+            PlacementPlan plan,
+            PlacementView.Engine engine,
+            PlacementView.DeployedArtifact deployed) {
+        return leastRecentlyUsed(plan, engine, deployed)
+                .map(resident -> lastUsed(plan, resident))
                 .orElse(Long.MAX_VALUE);
     }
 
-    private static Optional<PlacementView.Held> oldest(
-            Planning planning, PlacementView.Seat seat, PlacementView.Want want) {
-        return seat.held().stream()
-                .filter(held -> !isBase(held, want))
-                .filter(held -> !planning.carriesAdapters(seat, held.artifact()))
-                .min(Comparator.comparingLong(held -> lastUsed(planning, held)));
+    private static Optional<PlacementView.ResidentArtifact> leastRecentlyUsed(
+            PlacementPlan plan,
+            PlacementView.Engine engine,
+            PlacementView.DeployedArtifact deployed) {
+        return engine.resident().stream()
+                .filter(resident -> !isBase(resident, deployed))
+                .filter(resident -> !plan.carriesAdapters(engine, resident.artifact()))
+                .min(Comparator.comparingLong(resident -> lastUsed(plan, resident)));
     }
 
-    private static boolean isBase(PlacementView.Held held, PlacementView.Want want) {
-        return want.base().isPresent() && want.base().get().id().equals(held.artifact().id());
+    private static boolean isBase(
+            PlacementView.ResidentArtifact resident, PlacementView.DeployedArtifact deployed) {
+        return deployed.base().isPresent()
+                && deployed.base().get().id().equals(resident.artifact().id());
     }
 
-    private static long lastUsed(Planning planning, PlacementView.Held held) {
-        return planning.want(held.artifact().id())
-                .map(PlacementView.Want::lastUsed)
+    private static long lastUsed(PlacementPlan plan, PlacementView.ResidentArtifact resident) {
+        return plan.deployed(resident.artifact().id())
+                .map(PlacementView.DeployedArtifact::lastUsed)
                 .orElse(Long.MIN_VALUE);
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/policy/PlacementView.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/policy/PlacementView.java
@@ -10,107 +10,112 @@
 import java.util.Optional;
 
 /**
- * What a policy decides from.
+ * The input of a placement decision: the engines of a zone and the deployed artifacts.
  *
- * @param seats the upstreams that may be given orders, in a fixed order
- * @param wants the deployed models and adapters
+ * @param engines the upstreams that accept orders, in a stable order
+ * @param deployed the deployed models and adapters
  * @param loadsAllowed how many loads the weight store's limits allow now
- * @param saturatingRate requests a second that keep one upstream busy
+ * @param saturatingRate requests per second that saturate one upstream
  * @param now the monotonic clock, in nanoseconds
  */
 public record PlacementView(
-        List<Seat> seats, List<Want> wants, int loadsAllowed, double saturatingRate, long now) {
+        List<Engine> engines,
+        List<DeployedArtifact> deployed,
+        int loadsAllowed,
+        double saturatingRate,
+        long now) {
 
     /**
-     * Stands for a capacity that is not known, in requests a second: prompts of 1,800 tokens are
-     * read so at 19 tokens a millisecond.
+     * Requests per second that saturate an upstream of unknown capacity: an upstream that reads 19
+     * prompt tokens per millisecond handles prompts of 1,800 tokens at about this rate.
      */
-    public static final double UNKNOWN_RATE = 8;
+    public static final double DEFAULT_SATURATING_RATE = 8;
 
     /** Creates a view of upstreams whose capacity is not known. */
-    public PlacementView(List<Seat> seats, List<Want> wants, int loadsAllowed, long now) {
-        this(seats, wants, loadsAllowed, UNKNOWN_RATE, now);
+    public PlacementView(
+            List<Engine> engines, List<DeployedArtifact> deployed, int loadsAllowed, long now) {
+        this(engines, deployed, loadsAllowed, DEFAULT_SATURATING_RATE, now);
     }
 
     /** Copies the lists. */
     public PlacementView {
-        seats = List.copyOf(seats);
-        wants = List.copyOf(wants);
+        engines = List.copyOf(engines);
+        deployed = List.copyOf(deployed);
     }
 
     /**
-     * One upstream.
+     * One upstream, as a place for artifacts.
      *
-     * @param upstream its name
-     * @param freeMib memory that a load may take, in MiB
-     * @param slots requests that it runs at once
-     * @param held what is resident, in a fixed order
+     * @param upstream its id
+     * @param freeMib memory available for loads, in MiB
+     * @param slots requests that it runs concurrently
+     * @param resident the resident artifacts, in a stable order
      * @param busy whether an order to it is still open
-     * @param loading what that order loads, if it is a load
-     * @param nearCopies how long a load takes of each model whose weights it keeps at hand
-     * @param zone its availability zone, where that matters
+     * @param loading the artifact that the open order loads, if it is a load
+     * @param localLoadTimes load time of each model whose weights it stores locally
+     * @param zone its availability zone, if the policy should spread copies over zones
      */
-    public record Seat(
+    public record Engine(
             UpstreamId upstream,
             long freeMib,
             int slots,
-            List<Held> held,
+            List<ResidentArtifact> resident,
             boolean busy,
             Optional<Artifact> loading,
-            Map<ModelId, Duration> nearCopies,
+            Map<ModelId, Duration> localLoadTimes,
             Optional<ZoneId> zone) {
         /** Copies the collections. */
-        public Seat {
-            held = List.copyOf(held);
-            nearCopies = Map.copyOf(nearCopies);
+        public Engine {
+            resident = List.copyOf(resident);
+            localLoadTimes = Map.copyOf(localLoadTimes);
         }
 
-        /** Creates a seat of an upstream that keeps no copies at hand. */
-        public Seat(
+        /** Creates an engine without local weights. */
+        public Engine(
                 UpstreamId upstream,
                 long freeMib,
                 int slots,
-                List<Held> held,
+                List<ResidentArtifact> resident,
                 boolean busy,
                 Optional<Artifact> loading) {
-            this(upstream, freeMib, slots, held, busy, loading, Map.of(), Optional.empty());
+            this(upstream, freeMib, slots, resident, busy, loading, Map.of(), Optional.empty());
         }
 
         /** Returns whether any version of a model is resident. */
         public boolean holds(ModelId model) {
-            return held.stream().anyMatch(item -> item.artifact().id().equals(model));
+            return resident.stream().anyMatch(item -> item.artifact().id().equals(model));
         }
 
-        /** Returns whether this very artifact is resident. */
+        /** Returns whether this version of an artifact is resident. */
         public boolean holds(Artifact artifact) {
-            return held.stream().anyMatch(item -> item.artifact().equals(artifact));
+            return resident.stream().anyMatch(item -> item.artifact().equals(artifact));
         }
     }
 
     /**
      * One resident artifact.
      *
-     * @param artifact what is resident
+     * @param artifact the artifact
      * @param memoryMib what it takes, in MiB
-     * @param since when it was first seen, on the monotonic clock in nanoseconds
+     * @param since when it was first reported as resident, on the monotonic clock in nanoseconds
      */
-    public record Held(Artifact artifact, long memoryMib, long since) {}
+    public record ResidentArtifact(Artifact artifact, long memoryMib, long since) {}
 
     /**
      * One deployed model or adapter.
      *
      * @param artifact the version that should serve
      * @param memoryMib what it takes, in MiB
-     * @param base the model that an adapter needs beside it
-     * @param floor copies to keep where memory allows
-     * @param ratePerSecond requests a second
-     * @param waiting requests that wait for it
-     * @param starvedSeconds how long it has been asked for without being resident anywhere
-     * @param lastUsed when it was last asked for, on the monotonic clock in nanoseconds, or 0 if
+     * @param base the model that an adapter needs resident on the same engine
+     * @param floor minimum number of copies, where memory allows
+     * @param ratePerSecond requests per second
+     * @param waiting number of requests waiting for it
+     * @param starvedSeconds how long it has been requested without being resident anywhere
+     * @param lastUsed when it was last requested, on the monotonic clock in nanoseconds, or 0 if
      *     never
-     * @param loadFromStore how long a load takes where no copy of its weights is at hand
+     * @param storeLoadTime load time on an engine without local weights
      */
-    public record Want(
+    public record DeployedArtifact(
             Artifact artifact,
             long memoryMib,
             Optional<Artifact> base,
@@ -119,13 +124,13 @@
             int waiting,
             double starvedSeconds,
             long lastUsed,
-            Duration loadFromStore) {
+            Duration storeLoadTime) {
 
-        /** Stands for a load time that nobody has told. */
-        private static final Duration UNKNOWN_LOAD = Duration.ofSeconds(9);
+        /** Used where the load time is not known. */
+        private static final Duration DEFAULT_STORE_LOAD_TIME = Duration.ofSeconds(9);
 
-        /** Creates a want whose load time is not known. */
-        public Want(
+        /** Creates a deployed artifact whose load time is not known. */
+        public DeployedArtifact(
                 Artifact artifact,
                 long memoryMib,
                 Optional<Artifact> base,
@@ -143,7 +148,7 @@
                     waiting,
                     starvedSeconds,
                     lastUsed,
-                    UNKNOWN_LOAD);
+                    DEFAULT_STORE_LOAD_TIME);
         }
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineViewBuilder.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineViewBuilder.java
@@ -50,18 +50,18 @@
      * @param saturatingRate the request rate per second that saturates one engine
      */
     PlacementView view(ModelDemand demand, int storeLoads, double saturatingRate, long now) {
-        List<PlacementView.Seat> seats = new ArrayList<>();
+        List<PlacementView.Engine> seats = new ArrayList<>();
         engines.forEach(engine -> seats.add(seat(engine)));
-        List<PlacementView.Want> wants = new ArrayList<>();
+        List<PlacementView.DeployedArtifact> wants = new ArrayList<>();
         for (ModelWeights weights : spec.models().values()) {
             wants.add(want(weights, seats, demand, now));
         }
         return new PlacementView(seats, wants, storeLoads, saturatingRate, now);
     }
 
-    private PlacementView.Seat seat(EngineTracker engine) {
+    private PlacementView.Engine seat(EngineTracker engine) {
         Instance instance = engine.instance();
-        List<PlacementView.Held> held = new ArrayList<>();
+        List<PlacementView.ResidentArtifact> held = new ArrayList<>();
         for (ModelCopy copy : engine.models()) {
             long size =
                     (long)
@@ -70,7 +70,7 @@
                                             .map(ModelWeights::weightsMb)
                                             .orElse(0.0));
             held.add(
-                    new PlacementView.Held(
+                    new PlacementView.ResidentArtifact(
                             artifact(copy.model()), size, engine.residentSince(copy.model())));
         }
         Map<ModelId, Duration> localLoadTimes = new HashMap<>();
@@ -81,7 +81,7 @@
                 localLoadTimes.put(weights.model(), weights.loadFromDisk());
             }
         }
-        return new PlacementView.Seat(
+        return new PlacementView.Engine(
                 instance.id(),
                 (long) Math.floor(engine.freeMb(spec)),
                 instance.slots(),
@@ -92,11 +92,11 @@
                 Optional.of(instance.zone()));
     }
 
-    private static PlacementView.Want want(
-            ModelWeights weights, List<PlacementView.Seat> seats, ModelDemand demand, long now) {
+    private static PlacementView.DeployedArtifact want(
+            ModelWeights weights, List<PlacementView.Engine> seats, ModelDemand demand, long now) {
         ModelId model = weights.model();
         boolean resident = seats.stream().anyMatch(seat -> seat.holds(model));
-        return new PlacementView.Want(
+        return new PlacementView.DeployedArtifact(
                 artifact(model),
                 (long) Math.ceil(weights.weightsMb()),
                 Optional.empty(),
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyManager.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyManager.java
@@ -8,7 +8,7 @@
 import io.stackhall.core.id.ModelId;
 import io.stackhall.core.id.ServiceName;
 import io.stackhall.core.id.UpstreamId;
-import io.stackhall.core.policy.Move;
+import io.stackhall.core.policy.PlacementAction;
 import io.stackhall.core.policy.PlacementPolicy;
 import io.stackhall.core.policy.PlacementView;
 import io.stackhall.core.route.EngineSpec;
@@ -295,23 +295,23 @@
                         storeLimiter.availableLoads(now),
                         engineCapacity.requestsPerSecond(),
                         now);
-        boolean nothingWaiting = view.wants().stream().allMatch(want -> want.waiting() == 0);
+        boolean nothingWaiting = view.deployed().stream().allMatch(want -> want.waiting() == 0);
         if (discovering && nothingWaiting) {
             return;
         }
-        for (Move move : policy.decide(view)) {
+        for (PlacementAction move : policy.decide(view)) {
             EngineTracker engine = engines.get(move.upstream());
             if (engine == null) {
                 continue;
             }
             ModelId model = move.artifact().id();
             switch (move) {
-                case Move.Load ignored when engine.isUnloadingModel() ->
+                case PlacementAction.Load ignored when engine.isUnloadingModel() ->
                         engine.loadAfterUnload(model, now);
-                case Move.Load ignored when engine.isReadyForOrder() ->
+                case PlacementAction.Load ignored when engine.isReadyForOrder() ->
                         newModelLoad(engine, spec, model, now)
                                 .ifPresent(order -> sendOrder(engine, order, effects, now));
-                case Move.Unload ignored when engine.isReadyForOrder() -> {
+                case PlacementAction.Unload ignored when engine.isReadyForOrder() -> {
                     EngineOrder order = newOrder(engine, false, model, Optional.empty(), false);
                     sendOrder(engine, order, effects, now);
                 }
