--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/Candidates.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/Candidates.java
@@ -11,9 +11,9 @@
 /** The instances that may get one request, each with its score; the least one wins. */
 final class Candidates {
 
-    private final List<Scored> scored = new ArrayList<>();
+    private final List<ScoredInstance> scored = new ArrayList<>();
 
-    private record Scored(Instance instance, double score) {}
+    private record ScoredInstance(Instance instance, double score) {}
 
     /**
      * Adds an instance.
@@ -23,7 +23,7 @@
     void add(Instance instance, double score, Optional<RequestDigest> apart) {
         double order =
                 apart.map(request -> (double) Trials.order(request, instance.id())).orElse(score);
-        scored.add(new Scored(instance, order));
+        scored.add(new ScoredInstance(instance, order));
     }
 
     boolean isEmpty() {
@@ -31,9 +31,9 @@
     }
 
     /** Returns the one with the least score; among equals any. */
-    Instance least(RandomGenerator random) {
-        Scored best = scored.get(random.nextInt(scored.size()));
-        for (Scored candidate : scored) {
+    Instance lowestScore(RandomGenerator random) {
+        ScoredInstance best = scored.get(random.nextInt(scored.size()));
+        for (ScoredInstance candidate : scored) {
             if (candidate.score() < best.score()) {
                 best = candidate;
             }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/Choice.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/Choice.java
@@ -30,7 +30,7 @@
          *
          * @param ahead how many requests for the same model are sent before it
          */
-        Duration expected(int ahead);
+        Duration expectedWait(int ahead);
 
         /** Returns what is waited for, as the log tells it. */
         WaitReason reason();
@@ -52,7 +52,7 @@
             implements HeldBack {
 
         @Override
-        public Duration expected(int ahead) {
+        public Duration expectedWait(int ahead) {
             return waits.behind(ahead);
         }
 
@@ -71,7 +71,7 @@
             implements HeldBack {
 
         @Override
-        public Duration expected(int ahead) {
+        public Duration expectedWait(int ahead) {
             return left;
         }
 
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/ColdShare.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/ColdInstanceLimiter.java
@@ -22,67 +22,68 @@
  *
  * <p>Not thread-safe: one thread uses it.
  */
-final class ColdShare {
+final class ColdInstanceLimiter {
 
     /** The rest is for turns that meet by chance. */
     private static final double USED_SHARE = 0.7;
 
     /** A host that has a request every half second uses half of its turns. */
-    private static final long TURN_NANOS = Duration.ofMillis(300).toNanos();
+    private static final long TIME_SLOT_NANOS = Duration.ofMillis(300).toNanos();
 
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final RandomGenerator random;
-    private final Map<UpstreamId, Turns> cold = new HashMap<>();
-    private int hosts;
+    private final Map<UpstreamId, SendSchedule> schedules = new HashMap<>();
+    private int hostCount;
 
     /**
      * The turns of this host at one instance, counted from the first look after it was heard to be
      * cold; the moments are of the monotonic clock.
      */
-    private static final class Turns {
+    private static final class SendSchedule {
         private final double phase;
-        private Optional<Duration> heard = Optional.empty();
-        private boolean looked;
-        private long since;
-        private long until;
-        private long usedTurn = -1;
+        private Optional<Duration> reportedRemaining = Optional.empty();
+        private boolean started;
+        private long startedAt;
+        private long coldUntil;
+        private long usedTimeSlot = -1;
 
-        private Turns(double phase) {
+        private SendSchedule(double phase) {
             this.phase = phase;
         }
 
-        void look(long now) {
-            if (!looked) {
-                looked = true;
-                since = now;
+        void refresh(long now) {
+            if (!started) {
+                started = true;
+                startedAt = now;
             }
-            heard.ifPresent(left -> until = now + left.toNanos());
-            heard = Optional.empty();
+            reportedRemaining.ifPresent(left -> coldUntil = now + left.toNanos());
+            reportedRemaining = Optional.empty();
         }
     }
 
-    ColdShare(RandomGenerator random) {
+    ColdInstanceLimiter(RandomGenerator random) {
         this.random = random;
     }
 
     /** Takes in how many hosts share what a cold instance bears; 0 where that is not known yet. */
-    void shared(int among) {
-        hosts = among;
+    void setHostCount(int among) {
+        hostCount = among;
     }
 
     /** Takes in how much longer an instance says that it is cold. */
-    void reported(Instance instance) {
+    void update(Instance instance) {
         if (instance.cold().isZero()) {
-            cold.remove(instance.id());
+            schedules.remove(instance.id());
         } else {
-            cold.computeIfAbsent(instance.id(), id -> new Turns(random.nextDouble())).heard =
+            schedules.computeIfAbsent(instance.id(), id -> new SendSchedule(random.nextDouble()))
+                            .reportedRemaining =
                     Optional.of(instance.cold());
         }
     }
 
     void forget(UpstreamId id) {
-        cold.remove(id);
+        schedules.remove(id);
     }
 
     /**
@@ -92,35 +93,35 @@
      *     where that is without bound
      */
     boolean allows(UpstreamId id, double perSecond, long now) {
-        Turns turns = cold.get(id);
+        SendSchedule turns = schedules.get(id);
         if (turns == null || perSecond <= 0) {
             return true;
         }
-        turns.look(now);
-        if (now - turns.until >= 0) {
+        turns.refresh(now);
+        if (now - turns.coldUntil >= 0) {
             return true;
         }
-        long turn = turn(turns, perSecond, now);
-        return turn >= 0 && turn != turns.usedTurn;
+        long turn = timeSlot(turns, perSecond, now);
+        return turn >= 0 && turn != turns.usedTimeSlot;
     }
 
     /** Notes that a request is sent to an instance. */
-    void sent(UpstreamId id, double perSecond, long now) {
-        Turns turns = cold.get(id);
+    void recordSent(UpstreamId id, double perSecond, long now) {
+        SendSchedule turns = schedules.get(id);
         if (turns != null && perSecond > 0) {
-            turns.look(now);
-            turns.usedTurn = turn(turns, perSecond, now);
+            turns.refresh(now);
+            turns.usedTimeSlot = timeSlot(turns, perSecond, now);
         }
     }
 
     /** Returns which turn it is, or -1 where it is none of this host's. */
-    private long turn(Turns turns, double perSecond, long now) {
-        if (hosts == 0) {
+    private long timeSlot(SendSchedule turns, double perSecond, long now) {
+        if (hostCount == 0) {
             return -1;
         }
-        double period = hosts / (perSecond * USED_SHARE) * NANOS_PER_SECOND;
-        double passed = (now - turns.since) / period + turns.phase;
+        double period = hostCount / (perSecond * USED_SHARE) * NANOS_PER_SECOND;
+        double passed = (now - turns.startedAt) / period + turns.phase;
         double intoPeriod = (passed - Math.floor(passed)) * period;
-        return intoPeriod < TURN_NANOS ? (long) Math.floor(passed) : -1;
+        return intoPeriod < TIME_SLOT_NANOS ? (long) Math.floor(passed) : -1;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/Dispatcher.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/Dispatcher.java
@@ -29,12 +29,12 @@
 
     private final Map<UpstreamId, Instance> instances = new LinkedHashMap<>();
     private final Map<UpstreamId, InstanceLoad> loads = new HashMap<>();
-    private final ResidencyBelief belief = new ResidencyBelief();
-    private final ServiceFacts services = new ServiceFacts();
+    private final ResidencyEstimate residency = new ResidencyEstimate();
+    private final ServiceProfiles services = new ServiceProfiles();
     private EvacuatedZones evacuated = EvacuatedZones.none();
-    private final ColdShare cold;
+    private final ColdInstanceLimiter coldLimiter;
     private final Backpressure backpressure;
-    private final InstanceChoice choice;
+    private final InstanceSelector selector;
 
     /**
      * Creates a dispatcher that knows no instance.
@@ -42,55 +42,55 @@
      * @param backpressure what instances ask of this host
      */
     public Dispatcher(ZoneId zone, Backpressure backpressure, RandomGenerator random) {
-        this.cold = new ColdShare(random);
+        this.coldLimiter = new ColdInstanceLimiter(random);
         this.backpressure = backpressure;
-        this.choice =
-                new InstanceChoice(
+        this.selector =
+                new InstanceSelector(
                         services,
-                        cold,
+                        coldLimiter,
                         backpressure,
-                        new PlainChoice(zone, random, this::load),
-                        new EngineChoice(zone, random, this::load, belief));
+                        new PlainServiceSelector(zone, random, this::load),
+                        new EngineSelector(zone, random, this::load, residency));
     }
 
     /** Takes over what the services' engines are like. */
-    public void engines(Map<ServiceName, EngineSpec> next) {
+    public void setEngines(Map<ServiceName, EngineSpec> next) {
         services.engines(next);
     }
 
     /** Takes over how many requests a second the services' instances bear while they are cold. */
-    public void coldPerSecond(Map<ServiceName, Double> next) {
-        services.coldPerSecond(next);
+    public void setColdRequestsPerSecond(Map<ServiceName, Double> next) {
+        services.coldRequestsPerSecond(next);
     }
 
     /** Takes in how many hosts there are, which share what a cold instance bears. */
-    public void shared(int hosts) {
-        cold.shared(hosts);
+    public void setHostCount(int hosts) {
+        coldLimiter.setHostCount(hosts);
         backpressure.shared(hosts);
     }
 
     /** Takes over which zones' instances get nothing. */
-    public void evacuated(EvacuatedZones next) {
+    public void setEvacuatedZones(EvacuatedZones next) {
         evacuated = next;
     }
 
     /** Takes over the shortest objective of the routes that lead to each service. */
-    public void objectives(Map<ServiceName, Duration> next) {
+    public void setObjectives(Map<ServiceName, Duration> next) {
         services.objectives(next);
     }
 
     /** Takes in what is newly known of an instance. */
-    public void changed(Instance instance) {
+    public void updateInstance(Instance instance) {
         if (instance.state() == InstanceState.GONE) {
-            cold.forget(instance.id());
+            coldLimiter.forget(instance.id());
             backpressure.forget(instance.id());
             instances.remove(instance.id());
             loads.remove(instance.id());
-            belief.forget(instance.id());
+            residency.forget(instance.id());
             return;
         }
-        cold.reported(instance);
-        belief.reported(instances.put(instance.id(), instance), instance);
+        coldLimiter.update(instance);
+        residency.update(instances.put(instance.id(), instance), instance);
     }
 
     /**
@@ -98,10 +98,10 @@
      *
      * @param adapter the adapter concerned, or nothing where the model itself is
      */
-    public void residency(
+    public void updateResidency(
             UpstreamId id, ModelId model, Optional<String> adapter, boolean resident, long now) {
         if (instances.containsKey(id)) {
-            belief.told(id, model, adapter, resident, now);
+            residency.override(id, model, adapter, resident, now);
         }
     }
 
@@ -110,16 +110,16 @@
      *
      * @param within how long the load takes
      */
-    public void coming(UpstreamId id, ModelId model, Duration within, long now) {
+    public void loadStarted(UpstreamId id, ModelId model, Duration within, long now) {
         if (instances.containsKey(id)) {
-            belief.coming(id, model, within, now);
+            residency.loadStarted(id, model, within, now);
         }
     }
 
     /** Notes that an instance has refused a request because it lacks what it asks for. */
-    public void lacks(UpstreamId id, Need need, long now) {
+    public void modelMissing(UpstreamId id, Need need, long now) {
         if (need.model().isPresent()) {
-            residency(id, need.model().get(), need.adapter(), false, now);
+            updateResidency(id, need.model().get(), need.adapter(), false, now);
         }
     }
 
@@ -177,36 +177,39 @@
             Duration left,
             Optional<RequestDigest> apart,
             long now) {
-        Asked asked = new Asked(need, services.objective(need.service()), left, apart, now);
-        return choice.choose(asked, instances.values(), evacuated, allowed);
+        DispatchRequest asked =
+                new DispatchRequest(need, services.objective(need.service()), left, apart, now);
+        return selector.select(asked, instances.values(), evacuated, allowed);
     }
 
     /** Notes that a request is sent. */
-    public Sending began(UpstreamId id, Need need, long now) {
-        cold.sent(id, services.coldPerSecond(need.service()), now);
+    public InFlightRequest requestSent(UpstreamId id, Need need, long now) {
+        coldLimiter.recordSent(id, services.coldRequestsPerSecond(need.service()), now);
         backpressure.sent(id, now);
         InstanceLoad load = load(id);
-        boolean alone = load.unread(services.pace(need.service()), now) <= 0;
-        Sending sending = new Sending(id, need, load.unreadOf(need), alone, now);
-        load.began(sending.tokens(), now);
+        boolean alone = load.unreadTokens(services.prefillRate(need.service()), now) <= 0;
+        InFlightRequest sending =
+                new InFlightRequest(id, need, load.uncachedTokens(need), alone, now);
+        load.requestSent(sending.uncachedTokens(), now);
         return sending;
     }
 
     /** Notes the first event, or the head of a plain answer, of a request that is served. */
-    public void answered(Sending sending, long now) {
+    public void responseStarted(InFlightRequest sending, long now) {
         if (!sending.markAnswered()) {
             return;
         }
         InstanceLoad load = load(sending.instance());
-        load.answered(sending.tokens(), sending.startedAt());
-        load.firstEvent(sending.startedAt(), now, services.objective(sending.need().service()));
-        if (sending.alone()) {
-            services.pace(sending.need().service())
-                    .read(sending.tokens(), now - sending.startedAt());
+        load.responseStarted(sending.uncachedTokens(), sending.startedAt());
+        load.recordFirstEvent(
+                sending.startedAt(), now, services.objective(sending.need().service()));
+        if (sending.nothingUnread()) {
+            services.prefillRate(sending.need().service())
+                    .addSample(sending.uncachedTokens(), now - sending.startedAt());
         }
-        load.trust();
+        load.resetBackoff();
         backpressure.answered(sending.instance(), sending.startedAt());
-        sending.need().parts().forEach(part -> load.read(part.id(), now));
+        sending.need().parts().forEach(part -> load.rememberPart(part.id(), now));
     }
 
     /**
@@ -216,15 +219,15 @@
      *
      * @param taken whether the instance took the request in, rather than turn it away
      */
-    public void answeredInFailure(Sending sending, boolean taken) {
-        load(sending.instance()).trust();
+    public void errorResponseStarted(InFlightRequest sending, boolean taken) {
+        load(sending.instance()).resetBackoff();
         if (taken) {
             backpressure.answered(sending.instance(), sending.startedAt());
         }
     }
 
     /** Notes that an instance wants nothing from this host for some time. */
-    public void wantsRest(UpstreamId id, Duration time, long now) {
+    public void restRequested(UpstreamId id, Duration time, long now) {
         if (instances.containsKey(id)) {
             backpressure.wantsRest(id, time, now);
         }
@@ -234,9 +237,9 @@
      * Notes that an instance has turned a request away and does not say for how long. An engine may
      * do so for the one model that is asked for, a plain service does so for all.
      */
-    public void turnedAway(UpstreamId id, Need need, long now) {
+    public void requestRejected(UpstreamId id, Need need, long now) {
         if (need.model().isPresent()) {
-            lacks(id, need, now);
+            modelMissing(id, need, now);
         } else if (instances.containsKey(id)) {
             backpressure.turnedAway(id, now);
         }
@@ -249,7 +252,7 @@
      * @param choice what the request was given up for
      * @param after when it is worth another try at the earliest
      */
-    public Duration turnedBack(Choice choice, Duration after, long now) {
+    public Duration retryAfter(Choice choice, Duration after, long now) {
         if (choice instanceof Choice.Resting held && after.compareTo(held.left()) >= 0) {
             return backpressure.callerReturns(held.instance().id(), now);
         }
@@ -257,12 +260,12 @@
     }
 
     /** Returns whether an instance wants nothing from this host at present. */
-    public boolean rests(UpstreamId id, long now) {
+    public boolean isResting(UpstreamId id, long now) {
         return backpressure.rests(id, now);
     }
 
     /** Returns how many instances this host keeps away from, or is coming back to. */
-    public int resting() {
+    public int restingCount() {
         return backpressure.resting();
     }
 
@@ -275,58 +278,58 @@
     }
 
     /** Notes that a request that was about to be sent was not written. */
-    public void notWritten(Sending sending, long now) {
+    public void requestNotWritten(InFlightRequest sending, long now) {
         backpressure.notWritten(sending.instance());
-        ended(sending, now);
+        requestEnded(sending, now);
     }
 
     /** Notes that a request has left an instance, however. */
-    public void ended(Sending sending, long now) {
+    public void requestEnded(InFlightRequest sending, long now) {
         if (!sending.markEnded()) {
             return;
         }
         InstanceLoad load = load(sending.instance());
         if (sending.markAnswered()) {
-            load.answered(sending.tokens(), sending.startedAt());
-            load.left();
+            load.responseStarted(sending.uncachedTokens(), sending.startedAt());
+            load.unservedRequestEnded();
             backpressure.unanswered(sending.instance(), sending.startedAt());
         } else {
-            load.ended(now - sending.startedAt());
+            load.servedRequestEnded(now - sending.startedAt());
         }
     }
 
     /** Notes that an instance has given a whole answer. */
-    public void succeeded(UpstreamId id) {
-        load(id).outcome(true);
+    public void requestSucceeded(UpstreamId id) {
+        load(id).recordOutcome(true);
     }
 
     /** Notes that an instance cannot be reached or breaks off. */
-    public void failed(UpstreamId id, long now) {
-        load(id).suspect(now);
-        load(id).outcome(false);
+    public void connectionFailed(UpstreamId id, long now) {
+        load(id).backOff(now);
+        load(id).recordOutcome(false);
     }
 
     /** Notes that an instance has answered a request with a failure of its own. */
-    public void erred(UpstreamId id) {
-        load(id).outcome(false);
+    public void requestFailed(UpstreamId id) {
+        load(id).recordOutcome(false);
     }
 
     /** Takes in how many requests an instance runs and queues, for all hosts together. */
-    public void told(UpstreamId id, int runningAndWaiting, long now) {
-        load(id).told(runningAndWaiting, now);
+    public void updateReportedLoad(UpstreamId id, int runningAndWaiting, long now) {
+        load(id).updateReported(runningAndWaiting, now);
     }
 
     /** Takes in how many requests the other hosts have at each instance. */
-    public void othersTold(Map<UpstreamId, Integer> work, long now) {
+    public void updateRemoteRequests(Map<UpstreamId, Integer> work, long now) {
         for (UpstreamId id : instances.keySet()) {
-            load(id).othersTold(work.getOrDefault(id, 0), now);
+            load(id).updateRemoteRequests(work.getOrDefault(id, 0), now);
         }
     }
 
     /** Takes in how many tokens of the other hosts' prompts each instance has not read yet. */
-    public void othersUnreadTold(Map<UpstreamId, Integer> tokens, long now) {
+    public void updateRemoteUnreadTokens(Map<UpstreamId, Integer> tokens, long now) {
         for (UpstreamId id : instances.keySet()) {
-            load(id).othersUnreadTold(tokens.getOrDefault(id, 0), now);
+            load(id).updateRemoteUnreadTokens(tokens.getOrDefault(id, 0), now);
         }
     }
 
@@ -335,8 +338,8 @@
         Map<UpstreamId, Integer> all = new HashMap<>();
         loads.forEach(
                 (id, load) -> {
-                    if (load.pendingTokens() > 0) {
-                        all.put(id, (int) Math.min(Integer.MAX_VALUE, load.pendingTokens()));
+                    if (load.ownUnreadTokens() > 0) {
+                        all.put(id, (int) Math.min(Integer.MAX_VALUE, load.ownUnreadTokens()));
                     }
                 });
         return all;
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/Sending.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/InFlightRequest.java
@@ -3,21 +3,21 @@
 import io.stackhall.core.id.UpstreamId;
 
 /** One request on its way to or at an instance. */
-public final class Sending {
+public final class InFlightRequest {
 
     private final UpstreamId instance;
     private final Need need;
-    private final long tokens;
-    private final boolean alone;
+    private final long uncachedTokens;
+    private final boolean nothingUnread;
     private final long startedAt;
     private boolean answered;
     private boolean ended;
 
-    Sending(UpstreamId instance, Need need, long tokens, boolean alone, long startedAt) {
+    InFlightRequest(UpstreamId instance, Need need, long tokens, boolean alone, long startedAt) {
         this.instance = instance;
         this.need = need;
-        this.tokens = tokens;
-        this.alone = alone;
+        this.uncachedTokens = tokens;
+        this.nothingUnread = alone;
         this.startedAt = startedAt;
     }
 
@@ -37,15 +37,15 @@
     }
 
     /** Returns the prompt tokens that the instance was expected to read. */
-    long tokens() {
-        return tokens;
+    long uncachedTokens() {
+        return uncachedTokens;
     }
 
     /**
      * Returns whether the instance had nothing else to read when it was sent, as far as is known.
      */
-    boolean alone() {
-        return alone;
+    boolean nothingUnread() {
+        return nothingUnread;
     }
 
     /** Returns whether this is the first mark. */
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/InstanceLoad.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/InstanceLoad.java
@@ -9,22 +9,22 @@
 /** What this host knows of the work on one instance: its own exactly, that of others as told. */
 final class InstanceLoad {
 
-    private static final long FIRST_SUSPICION_NANOS = Duration.ofMillis(800).toNanos();
-    private static final long LONGEST_SUSPICION_NANOS = Duration.ofSeconds(4).toNanos();
+    private static final long INITIAL_BACKOFF_NANOS = Duration.ofMillis(800).toNanos();
+    private static final long MAX_BACKOFF_NANOS = Duration.ofSeconds(4).toNanos();
 
     /** Told loads count half after this time: they describe others' work, which comes and goes. */
     private static final long REPORT_HALF_LIFE_NANOS = Duration.ofSeconds(1).toNanos();
 
     /** So short that the window alone decides until the first answers tell. */
-    private static final double FIRST_STAY_NANOS = Duration.ofMillis(100).toNanos();
+    private static final double INITIAL_DURATION_NANOS = Duration.ofMillis(100).toNanos();
 
     /** One in this many requests counts in the mean time that they stay. */
-    private static final double STAY_MEMORY = 16;
+    private static final double DURATION_MEMORY = 16;
 
     private static final double NANOS_PER_SECOND = 1e9;
 
     /** One in this many words counts in the mean of what others have here. */
-    private static final int OTHERS_MEMORY = 16;
+    private static final int REMOTE_MEMORY = 16;
 
     /**
      * What is told of others' requests is half forgotten after this share of the time that a
@@ -32,7 +32,7 @@
      * heard it to the same instance: with 89 hosts at 84% of three instances 88.2% of the requests
      * were in time, now 94.0% (replay of clumps, 20 seeds).
      */
-    private static final double TOLD_HOLDS_SHARE = 0.25;
+    private static final double REMOTE_HALF_LIFE_SHARE = 0.25;
 
     /** One in this many outcomes counts in the share of failures. */
     private static final double FAILURE_MEMORY = 8;
@@ -41,8 +41,8 @@
     private static final int REMEMBERED_PARTS = 256;
 
     private final Deque<Long> unanswered = new ArrayDeque<>();
-    private final PromptWindow window = new PromptWindow();
-    private final Map<String, Long> parts =
+    private final PromptWindow promptWindow = new PromptWindow();
+    private final Map<String, Long> processedParts =
             new LinkedHashMap<>(16, 0.75f, true) {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
@@ -50,27 +50,27 @@
                 }
             };
     private int running;
-    private long pendingTokens;
-    private double others;
-    private double meanOthers;
-    private int timesTold;
-    private long othersUnread;
-    private long othersUnreadAt;
-    private long othersToldAt;
-    private boolean tellsItself;
+    private long ownUnreadTokens;
+    private double remoteRequests;
+    private double meanRemoteRequests;
+    private int remoteUpdates;
+    private long remoteUnreadTokens;
+    private long remoteUnreadAt;
+    private long remoteRequestsAt;
+    private boolean selfReported;
     private int answers;
     private int slowAnswers;
-    private double meanStayNanos = FIRST_STAY_NANOS;
-    private long lastBegun;
-    private long suspectedUntil;
-    private int suspicions;
+    private double meanDurationNanos = INITIAL_DURATION_NANOS;
+    private long lastSentAt;
+    private long backoffUntil;
+    private int consecutiveFailures;
     private double failureShare;
 
-    void began(long tokens, long now) {
+    void requestSent(long tokens, long now) {
         running++;
-        pendingTokens += tokens;
+        ownUnreadTokens += tokens;
         unanswered.addLast(now);
-        lastBegun = now;
+        lastSentAt = now;
     }
 
     /**
@@ -78,10 +78,10 @@
      *
      * @param objective the shortest of those who ask the instance
      */
-    void firstEvent(long startedAt, long now, Duration objective) {
-        window.answeredAfter(now - startedAt, objective);
+    void recordFirstEvent(long startedAt, long now, Duration objective) {
+        promptWindow.recordFirstEvent(now - startedAt, objective);
         answers++;
-        slowAnswers += PromptWindow.slow(now - startedAt, objective) ? 1 : 0;
+        slowAnswers += PromptWindow.isSlow(now - startedAt, objective) ? 1 : 0;
     }
 
     /** Takes what there is to tell other hosts. */
@@ -97,27 +97,27 @@
      *
      * @param late whether its answer can only be late
      */
-    boolean takesPrompt(boolean late, long now) {
-        return window.admits(unanswered.size(), late, now - lastBegun);
+    boolean admitsPrompt(boolean late, long now) {
+        return promptWindow.admits(unanswered.size(), late, now - lastSentAt);
     }
 
     /**
      * Returns how many requests a second this host can send here: what its window allows, or its
      * share of the slots that come free, whichever is less.
      */
-    double placesPerSecond(int slots, long now) {
+    double requestsPerSecond(int slots, long now) {
         double share = Math.max(1, running) / Math.max(1, occupancy(now));
-        double freed = slots * share * NANOS_PER_SECOND / meanStayNanos;
-        return Math.min(window.placesPerSecond(), freed);
+        double freed = slots * share * NANOS_PER_SECOND / meanDurationNanos;
+        return Math.min(promptWindow.promptsPerSecond(), freed);
     }
 
-    void answered(long tokens, long startedAt) {
-        pendingTokens = Math.max(0, pendingTokens - tokens);
+    void responseStarted(long tokens, long startedAt) {
+        ownUnreadTokens = Math.max(0, ownUnreadTokens - tokens);
         unanswered.removeFirstOccurrence(startedAt);
     }
 
     /** Notes that a request has left that was not served. */
-    void left() {
+    void unservedRequestEnded() {
         running = Math.max(0, running - 1);
     }
 
@@ -126,74 +126,74 @@
      *
      * @param nanos how long it was here
      */
-    void ended(long nanos) {
-        left();
-        meanStayNanos += (nanos - meanStayNanos) / STAY_MEMORY;
+    void servedRequestEnded(long nanos) {
+        unservedRequestEnded();
+        meanDurationNanos += (nanos - meanDurationNanos) / DURATION_MEMORY;
     }
 
     /** Takes in the instance's own word, which counts all hosts' requests. */
-    void told(int runningAndWaiting, long now) {
-        others(Math.max(0, runningAndWaiting - running));
-        othersToldAt = now;
-        tellsItself = true;
+    void updateReported(int runningAndWaiting, long now) {
+        remoteRequests(Math.max(0, runningAndWaiting - running));
+        remoteRequestsAt = now;
+        selfReported = true;
     }
 
     /** Takes in what other hosts say of their requests, unless the instance has told of late. */
-    void othersTold(int requests, long now) {
-        if (tellsItself && now - othersToldAt < REPORT_HALF_LIFE_NANOS) {
+    void updateRemoteRequests(int requests, long now) {
+        if (selfReported && now - remoteRequestsAt < REPORT_HALF_LIFE_NANOS) {
             return;
         }
-        others(requests);
-        othersToldAt = now;
-        tellsItself = false;
+        remoteRequests(requests);
+        remoteRequestsAt = now;
+        selfReported = false;
     }
 
     /** Returns this host's share of what there is to read, one prompt more of its own included. */
-    double shareOfUnread(ReadingPace pace, long tokens, long now) {
-        double own = pendingTokens + Math.max(1, tokens);
-        return own / (unread(pace, now) + Math.max(1, tokens));
+    double shareOfUnread(PrefillRate pace, long tokens, long now) {
+        double own = ownUnreadTokens + Math.max(1, tokens);
+        return own / (unreadTokens(pace, now) + Math.max(1, tokens));
     }
 
-    private void others(double told) {
-        others = told;
-        timesTold++;
-        meanOthers += (told - meanOthers) / Math.min(timesTold, OTHERS_MEMORY);
+    private void remoteRequests(double told) {
+        remoteRequests = told;
+        remoteUpdates++;
+        meanRemoteRequests += (told - meanRemoteRequests) / Math.min(remoteUpdates, REMOTE_MEMORY);
     }
 
     /** Takes in how many tokens of their prompts other hosts have here that are not read yet. */
-    void othersUnreadTold(long tokens, long now) {
-        othersUnread = tokens;
-        othersUnreadAt = now;
+    void updateRemoteUnreadTokens(long tokens, long now) {
+        remoteUnreadTokens = tokens;
+        remoteUnreadAt = now;
     }
 
     /** Returns the tokens of all hosts' prompts that are not read yet, as far as is known. */
-    double unread(ReadingPace pace, long now) {
-        double readSince = othersUnread == 0 ? 0 : pace.tokensIn(now - othersUnreadAt);
-        return pendingTokens + Math.max(0, othersUnread - readSince);
+    double unreadTokens(PrefillRate pace, long now) {
+        double readSince = remoteUnreadTokens == 0 ? 0 : pace.tokensIn(now - remoteUnreadAt);
+        return ownUnreadTokens + Math.max(0, remoteUnreadTokens - readSince);
     }
 
-    void suspect(long now) {
-        suspicions++;
-        long period = FIRST_SUSPICION_NANOS << Math.min(suspicions - 1, 3);
-        suspectedUntil = now + Math.min(period, LONGEST_SUSPICION_NANOS);
+    void backOff(long now) {
+        consecutiveFailures++;
+        long period = INITIAL_BACKOFF_NANOS << Math.min(consecutiveFailures - 1, 3);
+        backoffUntil = now + Math.min(period, MAX_BACKOFF_NANOS);
     }
 
-    void trust() {
-        suspicions = 0;
-        suspectedUntil = 0;
+    void resetBackoff() {
+        consecutiveFailures = 0;
+        backoffUntil = 0;
     }
 
-    void outcome(boolean good) {
+    void recordOutcome(boolean good) {
         double sample = good ? 0 : 1;
         failureShare += (sample - failureShare) / FAILURE_MEMORY;
     }
 
-    boolean suspected(long now) {
-        return suspectedUntil != 0 && now - suspectedUntil < 0;
+    boolean inBackoff(long now) {
+        return backoffUntil != 0 && now - backoffUntil < 0;
     }
 
     /** Returns whether a request has waited for an answer for longer than a time. */
-    boolean silentFor(long nanos, long now) {
+    boolean isSilentFor(long nanos, long now) {
         return !unanswered.isEmpty() && now - unanswered.peekFirst() > nanos;
     }
 
@@ -202,35 +202,37 @@
     }
 
     double occupancy(long now) {
-        return running + othersNow(now);
+        return running + remoteRequestsNow(now);
     }
 
     /**
      * Returns how many requests are here if others come and go as they use to: what was told last
      * counts less and less beside their mean.
      */
-    double usualOccupancy(long now) {
-        double halves = (now - othersToldAt) / (TOLD_HOLDS_SHARE * meanStayNanos);
-        return running + meanOthers + (others - meanOthers) * Math.pow(0.5, Math.max(0, halves));
+    double expectedOccupancy(long now) {
+        double halves = (now - remoteRequestsAt) / (REMOTE_HALF_LIFE_SHARE * meanDurationNanos);
+        return running
+                + meanRemoteRequests
+                + (remoteRequests - meanRemoteRequests) * Math.pow(0.5, Math.max(0, halves));
     }
 
-    long pendingTokens() {
-        return pendingTokens;
+    long ownUnreadTokens() {
+        return ownUnreadTokens;
     }
 
     double failureShare() {
         return failureShare;
     }
 
-    void read(String part, long now) {
-        parts.put(part, now);
+    void rememberPart(String part, long now) {
+        processedParts.put(part, now);
     }
 
     /** Returns the tokens of a request's prompt that this host did not see read here. */
-    long unreadOf(Need need) {
+    long uncachedTokens(Need need) {
         long unread = need.promptTokens();
         for (PromptPart part : need.parts()) {
-            if (!parts.containsKey(part.id())) {
+            if (!processedParts.containsKey(part.id())) {
                 break;
             }
             unread -= part.tokens();
@@ -238,8 +240,8 @@
         return Math.max(0, unread);
     }
 
-    double othersNow(long now) {
-        double halves = (double) (now - othersToldAt) / REPORT_HALF_LIFE_NANOS;
-        return others * Math.pow(0.5, Math.max(0, halves));
+    double remoteRequestsNow(long now) {
+        double halves = (double) (now - remoteRequestsAt) / REPORT_HALF_LIFE_NANOS;
+        return remoteRequests * Math.pow(0.5, Math.max(0, halves));
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/InstanceChoice.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/InstanceSelector.java
@@ -18,35 +18,35 @@
  * Decides where one request goes: to an instance that takes it at once where there is one, or else
  * to one that this host has to hold back from for a while.
  */
-final class InstanceChoice {
+final class InstanceSelector {
 
-    private final ServiceFacts services;
-    private final ColdShare cold;
+    private final ServiceProfiles services;
+    private final ColdInstanceLimiter coldLimiter;
     private final Backpressure backpressure;
-    private final PlainChoice plain;
-    private final EngineChoice holders;
+    private final PlainServiceSelector plain;
+    private final EngineSelector engines;
 
-    InstanceChoice(
-            ServiceFacts services,
-            ColdShare cold,
+    InstanceSelector(
+            ServiceProfiles services,
+            ColdInstanceLimiter cold,
             Backpressure backpressure,
-            PlainChoice plain,
-            EngineChoice holders) {
+            PlainServiceSelector plain,
+            EngineSelector holders) {
         this.services = services;
-        this.cold = cold;
+        this.coldLimiter = cold;
         this.backpressure = backpressure;
         this.plain = plain;
-        this.holders = holders;
+        this.engines = holders;
     }
 
     /** The instances that may get a request, by what keeps them from it. */
-    private static final class Sorted {
+    private static final class Partition {
         private final List<Instance> serving = new ArrayList<>();
-        private final List<Instance> last = new ArrayList<>();
+        private final List<Instance> lastResort = new ArrayList<>();
         private final List<Instance> limited = new ArrayList<>();
         private final List<Instance> resting = new ArrayList<>();
-        private boolean known;
-        private boolean spared;
+        private boolean anyReady;
+        private boolean coldLimited;
     }
 
     /**
@@ -55,42 +55,42 @@
      * @param evacuated the zones whose instances get nothing
      * @param allowed those that the request may be sent to
      */
-    Choice choose(
-            Asked asked,
+    Choice select(
+            DispatchRequest asked,
             Collection<Instance> instances,
             EvacuatedZones evacuated,
             Predicate<UpstreamId> allowed) {
-        Sorted sorted = sort(asked, instances, evacuated, allowed);
-        Optional<Choice> now = serving(sorted, asked).or(() -> spared(sorted));
-        Optional<Choice> later = resting(sorted.resting, now, asked);
-        Optional<Choice> decided = limited(sorted.limited, later, asked);
+        Partition sorted = partition(asked, instances, evacuated, allowed);
+        Optional<Choice> now = selectServing(sorted, asked).or(() -> waitForTimeSlot(sorted));
+        Optional<Choice> later = orWaitForRestEnd(sorted.resting, now, asked);
+        Optional<Choice> decided = orWaitForPermit(sorted.limited, later, asked);
         return decided.orElseGet(
-                () -> sorted.known ? new Choice.AllTried() : new Choice.NobodyServes());
+                () -> sorted.anyReady ? new Choice.AllTried() : new Choice.NobodyServes());
     }
 
-    private Sorted sort(
-            Asked asked,
+    private Partition partition(
+            DispatchRequest asked,
             Collection<Instance> instances,
             EvacuatedZones evacuated,
             Predicate<UpstreamId> allowed) {
-        Sorted sorted = new Sorted();
-        double bearsCold = services.coldPerSecond(asked.need().service());
+        Partition sorted = new Partition();
+        double bearsCold = services.coldRequestsPerSecond(asked.need().service());
         for (Instance instance : instances) {
             boolean fits =
                     instance.state() == InstanceState.READY
                             && !evacuated.contains(instance.zone())
                             && instance.service().equals(asked.need().service());
-            sorted.known |= fits;
+            sorted.anyReady |= fits;
             if (!fits || !allowed.test(instance.id())) {
                 continue;
             }
-            if (!cold.allows(instance.id(), bearsCold, asked.now())) {
-                sorted.spared = true;
+            if (!coldLimiter.allows(instance.id(), bearsCold, asked.now())) {
+                sorted.coldLimited = true;
                 continue;
             }
             switch (backpressure.hold(instance.id(), asked.now())) {
                 case NONE -> sorted.serving.add(instance);
-                case COMES_LAST -> sorted.last.add(instance);
+                case COMES_LAST -> sorted.lastResort.add(instance);
                 case LIMIT -> sorted.limited.add(instance);
                 case REST -> sorted.resting.add(instance);
             }
@@ -99,35 +99,38 @@
     }
 
     /** A cold instance takes a request as soon as this host has its turn there. */
-    private static Optional<Choice> spared(Sorted sorted) {
-        return sorted.spared ? Optional.of(new Choice.Full(0)) : Optional.empty();
+    private static Optional<Choice> waitForTimeSlot(Partition sorted) {
+        return sorted.coldLimited ? Optional.of(new Choice.Full(0)) : Optional.empty();
     }
 
     /** Decides among those that may be sent to at once. */
-    private Optional<Choice> serving(Sorted sorted, Asked asked) {
-        Optional<Choice> first = among(sorted.serving, asked);
-        if (sorted.last.isEmpty() || first.filter(Choice.Send.class::isInstance).isPresent()) {
+    private Optional<Choice> selectServing(Partition sorted, DispatchRequest asked) {
+        Optional<Choice> first = selectAmong(sorted.serving, asked);
+        if (sorted.lastResort.isEmpty()
+                || first.filter(Choice.Send.class::isInstance).isPresent()) {
             return first;
         }
         List<Instance> all = new ArrayList<>(sorted.serving);
-        all.addAll(sorted.last);
-        return among(all, asked);
+        all.addAll(sorted.lastResort);
+        return selectAmong(all, asked);
     }
 
-    private Optional<Choice> among(List<Instance> instances, Asked asked) {
+    private Optional<Choice> selectAmong(List<Instance> instances, DispatchRequest asked) {
         if (instances.isEmpty()) {
             return Optional.empty();
         }
         Optional<EngineSpec> engine = services.engine(asked.need().service());
         if (asked.need().model().isEmpty() || engine.isEmpty()) {
-            return Optional.of(plain.choose(instances, asked.apart(), asked.now()));
+            return Optional.of(plain.select(instances, asked.suspect(), asked.now()));
         }
-        ReadingPace pace = services.pace(asked.need().service());
-        return Optional.of(holders.choose(asked, instances, engine.get(), pace));
+        PrefillRate pace = services.prefillRate(asked.need().service());
+        return Optional.of(engines.select(asked, instances, engine.get(), pace));
     }
 
-    private boolean takes(Instance instance, Asked asked) {
-        return among(List.of(instance), asked).filter(Choice.Send.class::isInstance).isPresent();
+    private boolean canSendTo(Instance instance, DispatchRequest asked) {
+        return selectAmong(List.of(instance), asked)
+                .filter(Choice.Send.class::isInstance)
+                .isPresent();
     }
 
     /**
@@ -136,19 +139,19 @@
      *
      * @param otherwise what becomes of it without them
      */
-    private Optional<Choice> resting(
-            List<Instance> resting, Optional<Choice> otherwise, Asked asked) {
-        if (resting.isEmpty() || otherwise.filter(InstanceChoice::isServed).isPresent()) {
+    private Optional<Choice> orWaitForRestEnd(
+            List<Instance> resting, Optional<Choice> otherwise, DispatchRequest asked) {
+        if (resting.isEmpty() || otherwise.filter(InstanceSelector::isServed).isPresent()) {
             return otherwise;
         }
         return resting.stream()
-                .filter(one -> takes(one, asked))
-                .min(Comparator.comparing(one -> left(one, asked)))
-                .<Choice>map(one -> new Choice.Resting(one, left(one, asked), otherwise))
-                .or(() -> otherwise.or(() -> among(resting, asked)));
+                .filter(one -> canSendTo(one, asked))
+                .min(Comparator.comparing(one -> remainingRest(one, asked)))
+                .<Choice>map(one -> new Choice.Resting(one, remainingRest(one, asked), otherwise))
+                .or(() -> otherwise.or(() -> selectAmong(resting, asked)));
     }
 
-    private Duration left(Instance resting, Asked asked) {
+    private Duration remainingRest(Instance resting, DispatchRequest asked) {
         return backpressure.restLeft(resting.id(), asked.now());
     }
 
@@ -162,17 +165,17 @@
      *
      * @param otherwise what becomes of it without them
      */
-    private Optional<Choice> limited(
-            List<Instance> limited, Optional<Choice> otherwise, Asked asked) {
+    private Optional<Choice> orWaitForPermit(
+            List<Instance> limited, Optional<Choice> otherwise, DispatchRequest asked) {
         if (limited.isEmpty()
                 || otherwise.filter(Choice.AdapterMissing.class::isInstance).isPresent()) {
             return otherwise;
         }
         if (otherwise.filter(Choice.Send.class::isInstance).isPresent()) {
-            askForSpare(limited, asked);
+            requestSparePermits(limited, asked);
             return otherwise;
         }
-        return switch (among(limited, asked).orElseThrow()) {
+        return switch (selectAmong(limited, asked).orElseThrow()) {
             case Choice.Send(Instance instance, String why) ->
                     Optional.of(
                             new Choice.Limited(
@@ -185,10 +188,10 @@
     }
 
     /** Only an answer can tell that a limit has ended, so that those with one are tried too. */
-    private void askForSpare(List<Instance> limited, Asked asked) {
+    private void requestSparePermits(List<Instance> limited, DispatchRequest asked) {
         limited.stream()
                 .filter(one -> backpressure.spareDue(one.id(), asked.now()))
-                .filter(one -> takes(one, asked))
+                .filter(one -> canSendTo(one, asked))
                 .forEach(one -> backpressure.spare(one.id(), asked.now()));
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/PlainChoice.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/PlainServiceSelector.java
@@ -11,7 +11,7 @@
 import java.util.random.RandomGenerator;
 
 /** Picks an instance of a service that runs no models, by how full each is. */
-final class PlainChoice {
+final class PlainServiceSelector {
 
     /** An instance in another zone counts as holding this many requests more. */
     private static final double OTHER_ZONE_REQUESTS = 0.3;
@@ -29,31 +29,32 @@
     private final RandomGenerator random;
     private final Function<UpstreamId, InstanceLoad> loads;
 
-    PlainChoice(ZoneId zone, RandomGenerator random, Function<UpstreamId, InstanceLoad> loads) {
+    PlainServiceSelector(
+            ZoneId zone, RandomGenerator random, Function<UpstreamId, InstanceLoad> loads) {
         this.zone = zone;
         this.random = random;
         this.loads = loads;
     }
 
-    Choice choose(List<Instance> serving, Optional<RequestDigest> apart, long now) {
+    Choice select(List<Instance> serving, Optional<RequestDigest> apart, long now) {
         Candidates candidates = new Candidates();
         for (Instance instance : serving) {
             InstanceLoad load = loads.apply(instance.id());
-            if (load.usualOccupancy(now) < instance.slots() * QUEUE_SHARE) {
+            if (load.expectedOccupancy(now) < instance.slots() * QUEUE_SHARE) {
                 candidates.add(instance, score(instance, load, now), apart);
             }
         }
         return candidates.isEmpty()
                 ? new Choice.Full(0)
-                : new Choice.Send(candidates.least(random), "load");
+                : new Choice.Send(candidates.lowestScore(random), "load");
     }
 
     private double score(Instance instance, InstanceLoad load, long now) {
-        double score = (load.usualOccupancy(now) + 1) / Math.max(1, instance.slots());
+        double score = (load.expectedOccupancy(now) + 1) / Math.max(1, instance.slots());
         score += instance.zone().equals(zone) ? 0 : OTHER_ZONE_REQUESTS / instance.slots();
         score *= 1 + FAILURE_WEIGHT * load.failureShare();
-        score += load.suspected(now) ? SILENT_PENALTY : 0;
-        score += load.silentFor(SILENCE_NANOS, now) ? SILENT_PENALTY : 0;
+        score += load.inBackoff(now) ? SILENT_PENALTY : 0;
+        score += load.isSilentFor(SILENCE_NANOS, now) ? SILENT_PENALTY : 0;
         return score;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/ReadingPace.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/PrefillRate.java
@@ -6,13 +6,13 @@
  * How fast the engines of one service read prompts, learned from the answers of engines that had
  * little else to read, and so how much may wait at one for the next prompt to be read in time.
  */
-final class ReadingPace {
+final class PrefillRate {
 
     /** One in this many samples counts in the mean. */
     private static final double MEMORY = 16;
 
     /** So few answers may be odd ones. */
-    private static final int LEAST_SAMPLES = 4;
+    private static final int MIN_SAMPLES = 4;
 
     /**
      * The rest of the objective is for what others have sent that was not told yet, and for
@@ -29,7 +29,7 @@
     private int samples;
 
     /** Takes in how long an engine with little else to read took to the first event. */
-    void read(long tokens, long nanos) {
+    void addSample(long tokens, long nanos) {
         if (tokens <= 0) {
             return;
         }
@@ -40,7 +40,7 @@
 
     /** Returns how many tokens an engine reads in a while, as many as you like if not known. */
     double tokensIn(long nanos) {
-        return samples < LEAST_SAMPLES ? Double.POSITIVE_INFINITY : nanos / nanosPerToken;
+        return samples < MIN_SAMPLES ? Double.POSITIVE_INFINITY : nanos / nanosPerToken;
     }
 
     /**
@@ -57,7 +57,8 @@
      * @param objective the shortest of those who ask the engine
      * @param left what is left for it to be in time; nothing where it can only be late
      */
-    boolean inTime(double waitingTokens, long ownTokens, Duration objective, Duration left) {
+    boolean meetsObjective(
+            double waitingTokens, long ownTokens, Duration objective, Duration left) {
         if (waitingTokens <= 0) {
             return true;
         }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/PromptWindow.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/PromptWindow.java
@@ -17,12 +17,12 @@
  */
 final class PromptWindow {
 
-    private static final double FIRST = 3;
+    private static final double INITIAL = 3;
 
     /** Eight hosts send an overloaded engine one prompt in the time that one prompt takes. */
-    private static final double LEAST = 0.125;
+    private static final double MIN = 0.125;
 
-    private static final double MOST = 16;
+    private static final double MAX = 16;
     private static final double DECREASE = 0.7;
 
     /** Up to this share of the objective for the first event leaves room for more prompts. */
@@ -39,7 +39,7 @@
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    private double limit = FIRST;
+    private double limit = INITIAL;
     private double meanNanos = Duration.ofMillis(150).toNanos();
 
     /**
@@ -47,17 +47,17 @@
      *
      * @param objective the shortest of those who ask the engine
      */
-    void answeredAfter(long nanos, Duration objective) {
+    void recordFirstEvent(long nanos, Duration objective) {
         meanNanos += (nanos - meanNanos) / MEMORY;
         if (nanos <= QUICK_SHARE * objective.toNanos()) {
-            limit = Math.min(MOST, limit + Math.min(limit, 1 / limit));
-        } else if (slow(nanos, objective)) {
-            limit = Math.max(LEAST, limit * DECREASE);
+            limit = Math.min(MAX, limit + Math.min(limit, 1 / limit));
+        } else if (isSlow(nanos, objective)) {
+            limit = Math.max(MIN, limit * DECREASE);
         }
     }
 
     /** Returns whether a first event took so long that the next one will be late. */
-    static boolean slow(long nanos, Duration objective) {
+    static boolean isSlow(long nanos, Duration objective) {
         return nanos >= SLOW_SHARE * objective.toNanos();
     }
 
@@ -76,7 +76,7 @@
     }
 
     /** Returns how many prompts a second bring a first event, if the window is always full. */
-    double placesPerSecond() {
+    double promptsPerSecond() {
         return limit * NANOS_PER_SECOND / meanNanos;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/ReportSum.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/ReportAggregator.java
@@ -16,16 +16,16 @@
  *
  * <p>Not thread-safe: one thread uses it.
  */
-public final class ReportSum {
+public final class ReportAggregator {
 
-    private final WorkReports works = new WorkReports();
-    private final WorkReports unread = new WorkReports();
-    private final Map<HostId, Waiting> waiting = new HashMap<>();
+    private final WorkReports requestReports = new WorkReports();
+    private final WorkReports unreadReports = new WorkReports();
+    private final Map<HostId, HostDemand> waiting = new HashMap<>();
     private final Map<UpstreamId, InstanceWork> answers = new HashMap<>();
     private final Map<String, Integer> arrivals = new TreeMap<>();
-    private long lifetimeNanos = new ReportPace(0).lifetime().toNanos();
+    private long lifetimeNanos = new ReportTiming(0).lifetime().toNanos();
 
-    private record Waiting(Map<String, Asked> asked, long at) {}
+    private record HostDemand(Map<String, Demand> demand, long at) {}
 
     /**
      * How a model or adapter is asked for.
@@ -33,39 +33,39 @@
      * @param arrivals requests since the last report
      * @param waiting requests that wait for it now
      */
-    public record Asked(int arrivals, int waiting) {
+    public record Demand(int arrivals, int waiting) {
 
-        private Asked plus(Asked other) {
-            return new Asked(arrivals + other.arrivals, waiting + other.waiting);
+        private Demand plus(Demand other) {
+            return new Demand(arrivals + other.arrivals, waiting + other.waiting);
         }
     }
 
     /** Takes in how many entry hosts there are, by which reports come more or less often. */
-    public void shared(int hosts) {
-        works.shared(hosts);
-        unread.shared(hosts);
-        lifetimeNanos = new ReportPace(hosts).lifetime().toNanos();
+    public void setHostCount(int hosts) {
+        requestReports.setHostCount(hosts);
+        unreadReports.setHostCount(hosts);
+        lifetimeNanos = new ReportTiming(hosts).lifetime().toNanos();
     }
 
     /** Takes in what a host says of its requests at instances. */
-    public void worked(HostId host, Map<UpstreamId, InstanceWork> work, long now) {
+    public void addWork(HostId host, Map<UpstreamId, InstanceWork> work, long now) {
         Map<UpstreamId, Integer> requests = new HashMap<>();
         work.forEach(
                 (id, one) -> {
                     requests.put(id, one.requests());
                     add(answers, id, new InstanceWork(0, one.answered(), one.slow()));
                 });
-        works.reported(host, requests, now);
+        requestReports.put(host, requests, now);
     }
 
     /** Takes in how many tokens of a host's prompts each instance has not read yet. */
-    public void unreadTold(HostId host, Map<UpstreamId, Integer> tokens, long now) {
-        unread.reported(host, tokens, now);
+    public void addUnreadTokens(HostId host, Map<UpstreamId, Integer> tokens, long now) {
+        unreadReports.put(host, tokens, now);
     }
 
     /** Takes in what a host is asked for, by the names of models and adapters. */
-    public void asked(HostId host, Map<String, Asked> asked, long now) {
-        waiting.put(host, new Waiting(Map.copyOf(asked), now));
+    public void addDemand(HostId host, Map<String, Demand> asked, long now) {
+        waiting.put(host, new HostDemand(Map.copyOf(asked), now));
         asked.forEach((name, one) -> arrivals.merge(name, one.arrivals(), Integer::sum));
     }
 
@@ -73,14 +73,16 @@
     public Map<UpstreamId, InstanceWork> takeWork(long now) {
         Map<UpstreamId, InstanceWork> sum = new HashMap<>(answers);
         answers.clear();
-        works.sum(now).forEach((id, requests) -> add(sum, id, new InstanceWork(requests, 0, 0)));
+        requestReports
+                .sum(now)
+                .forEach((id, requests) -> add(sum, id, new InstanceWork(requests, 0, 0)));
         sum.values().removeIf(InstanceWork::isNothing);
         return sum;
     }
 
     /** Returns the sum of the tokens that are to be read at each instance. */
     public Map<UpstreamId, Integer> unreadTokens(long now) {
-        return unread.sum(now);
+        return unreadReports.sum(now);
     }
 
     private static void add(Map<UpstreamId, InstanceWork> sum, UpstreamId id, InstanceWork work) {
@@ -88,16 +90,16 @@
     }
 
     /** Takes the sum of what waits, and the arrivals since it was taken last. */
-    public Map<String, Asked> takeAsked(long now) {
+    public Map<String, Demand> takeDemand(long now) {
         waiting.values().removeIf(host -> now - host.at() > lifetimeNanos);
-        Map<String, Asked> sum = new TreeMap<>();
-        arrivals.forEach((name, count) -> sum.put(name, new Asked(count, 0)));
+        Map<String, Demand> sum = new TreeMap<>();
+        arrivals.forEach((name, count) -> sum.put(name, new Demand(count, 0)));
         arrivals.clear();
-        for (Waiting host : waiting.values()) {
-            host.asked()
+        for (HostDemand host : waiting.values()) {
+            host.demand()
                     .forEach(
                             (name, one) ->
-                                    sum.merge(name, new Asked(0, one.waiting()), Asked::plus));
+                                    sum.merge(name, new Demand(0, one.waiting()), Demand::plus));
         }
         sum.values().removeIf(one -> one.arrivals() == 0 && one.waiting() == 0);
         return sum;
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/ReportPace.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/ReportTiming.java
@@ -12,22 +12,22 @@
  *
  * @param hosts how many entry hosts there are
  */
-public record ReportPace(int hosts) {
+public record ReportTiming(int hosts) {
 
     /** Ten of the 1.5 s that a request stays at an engine. */
-    private static final Duration SHORTEST = Duration.ofMillis(150);
+    private static final Duration MIN_INTERVAL = Duration.ofMillis(150);
 
     /** A control host takes 200 reports a second at most, a tenth of a small processor. */
-    private static final Duration PER_HOST = Duration.ofMillis(5);
+    private static final Duration INTERVAL_PER_HOST = Duration.ofMillis(5);
 
     /** A host whose last word is older than this many intervals is cut off. */
     private static final int INTERVALS_UNTIL_SILENT = 3;
 
     /** Where there are few hosts, reports come several times within this. */
-    private static final Duration LEAST_LIFETIME = Duration.ofSeconds(1);
+    private static final Duration MIN_LIFETIME = Duration.ofSeconds(1);
 
     /** Checks the number. */
-    public ReportPace {
+    public ReportTiming {
         if (hosts < 0) {
             throw new IllegalArgumentException("there cannot be " + hosts + " hosts");
         }
@@ -35,15 +35,15 @@
 
     /** Returns the time between two reports of a host. */
     public Duration interval() {
-        return longer(SHORTEST, PER_HOST.multipliedBy(hosts));
+        return max(MIN_INTERVAL, INTERVAL_PER_HOST.multipliedBy(hosts));
     }
 
     /** Returns how long a report counts. */
     public Duration lifetime() {
-        return longer(LEAST_LIFETIME, interval().multipliedBy(INTERVALS_UNTIL_SILENT));
+        return max(MIN_LIFETIME, interval().multipliedBy(INTERVALS_UNTIL_SILENT));
     }
 
-    private static Duration longer(Duration one, Duration other) {
+    private static Duration max(Duration one, Duration other) {
         return one.compareTo(other) > 0 ? one : other;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/ResidencyBelief.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/ResidencyEstimate.java
@@ -12,30 +12,31 @@
  * What instances hold or load beyond what their last reports say, as control hosts and refusals
  * have told.
  */
-final class ResidencyBelief {
+final class ResidencyEstimate {
 
     /** A report made before something was unloaded arrives within two heartbeats. */
-    private static final long ABSENCE_NANOS = Duration.ofMillis(2500).toNanos();
+    private static final long UNLOAD_OVERRIDE_NANOS = Duration.ofMillis(2500).toNanos();
 
     /** A load that is later than this has failed. */
-    private static final long LATE_LOAD_NANOS = Duration.ofSeconds(2).toNanos();
+    private static final long LOAD_GRACE_NANOS = Duration.ofSeconds(2).toNanos();
 
-    private final Map<UpstreamId, Map<Holding, Told>> told = new HashMap<>();
-    private final Map<UpstreamId, Coming> coming = new HashMap<>();
+    private final Map<UpstreamId, Map<ModelOrAdapter, ResidencyOverride>> overrides =
+            new HashMap<>();
+    private final Map<UpstreamId, PendingLoad> pendingLoads = new HashMap<>();
 
     /** A model, or an adapter of it, that an instance may hold. */
-    private record Holding(ModelId model, Optional<String> adapter) {}
+    private record ModelOrAdapter(ModelId model, Optional<String> adapter) {}
 
     /** What was said of a holding, and when. */
-    private record Told(boolean resident, long at) {}
+    private record ResidencyOverride(boolean resident, long at) {}
 
     /** A load that is under way, and when it should be done. */
-    private record Coming(ModelId model, long at) {}
+    private record PendingLoad(ModelId model, long dueAt) {}
 
     /** Forgets an instance that is gone. */
     void forget(UpstreamId id) {
-        told.remove(id);
-        coming.remove(id);
+        overrides.remove(id);
+        pendingLoads.remove(id);
     }
 
     /**
@@ -46,12 +47,12 @@
      *
      * @param before the report before, or null where there was none
      */
-    void reported(Instance before, Instance after) {
-        Coming load = coming.get(after.id());
+    void update(Instance before, Instance after) {
+        PendingLoad load = pendingLoads.get(after.id());
         if (load != null && after.copyOf(load.model()).isPresent()) {
-            coming.remove(after.id());
+            pendingLoads.remove(after.id());
         }
-        Map<Holding, Told> here = told.get(after.id());
+        Map<ModelOrAdapter, ResidencyOverride> here = overrides.get(after.id());
         if (before == null || here == null) {
             return;
         }
@@ -63,22 +64,24 @@
     }
 
     /** Notes what an instance holds now, or is about to hold no more. */
-    void told(UpstreamId id, ModelId model, Optional<String> adapter, boolean resident, long now) {
-        told.computeIfAbsent(id, key -> new HashMap<>())
-                .put(new Holding(model, adapter), new Told(resident, now));
+    void override(
+            UpstreamId id, ModelId model, Optional<String> adapter, boolean resident, long now) {
+        overrides
+                .computeIfAbsent(id, key -> new HashMap<>())
+                .put(new ModelOrAdapter(model, adapter), new ResidencyOverride(resident, now));
     }
 
     /** Notes that an instance has begun to load a model. */
-    void coming(UpstreamId id, ModelId model, Duration within, long now) {
-        coming.put(id, new Coming(model, now + within.toNanos()));
+    void loadStarted(UpstreamId id, ModelId model, Duration within, long now) {
+        pendingLoads.put(id, new PendingLoad(model, now + within.toNanos()));
     }
 
     /** Returns how much longer an instance loads a model, or the largest number if it does not. */
-    long leftOfLoad(UpstreamId id, ModelId model, long now) {
-        Coming load = coming.get(id);
+    long remainingLoadNanos(UpstreamId id, ModelId model, long now) {
+        PendingLoad load = pendingLoads.get(id);
         boolean comes =
-                load != null && load.model().equals(model) && now - load.at() < LATE_LOAD_NANOS;
-        return comes ? Math.max(0, load.at() - now) : Long.MAX_VALUE;
+                load != null && load.model().equals(model) && now - load.dueAt() < LOAD_GRACE_NANOS;
+        return comes ? Math.max(0, load.dueAt() - now) : Long.MAX_VALUE;
     }
 
     /** What was said lately counts before what the instance reported, which may be older. */
@@ -88,12 +91,13 @@
             Optional<String> adapter,
             boolean reported,
             long now) {
-        Map<Holding, Told> here = told.getOrDefault(instance.id(), Map.of());
-        Told last = here.get(new Holding(model, adapter));
+        Map<ModelOrAdapter, ResidencyOverride> here =
+                overrides.getOrDefault(instance.id(), Map.of());
+        ResidencyOverride last = here.get(new ModelOrAdapter(model, adapter));
         if (last == null) {
             return reported;
         }
-        if (!last.resident() && now - last.at() > ABSENCE_NANOS) {
+        if (!last.resident() && now - last.at() > UNLOAD_OVERRIDE_NANOS) {
             return reported;
         }
         return last.resident();
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/RetryAllowance.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/RetryLimiter.java
@@ -16,7 +16,7 @@
  * of its own: by one for all, a small one in need would get as many resends as a busy one beside it
  * leaves unused.
  */
-public final class RetryAllowance {
+public final class RetryLimiter {
 
     /** Kept free for sends whose requests come to count in another window than their resends. */
     private static final double USED_SHARE = 0.8;
@@ -41,7 +41,7 @@
      * @param hosts how many hosts share the slack, until more is known
      * @param window the length of a window
      */
-    public RetryAllowance(double ratio, double commonSlack, int hosts, Duration window) {
+    public RetryLimiter(double ratio, double commonSlack, int hosts, Duration window) {
         this.ratio = ratio;
         this.commonSlack = commonSlack;
         this.hosts = hosts;
@@ -49,23 +49,23 @@
     }
 
     /** Takes in how many hosts there are; a host that was lost goes on counting. */
-    public void shared(int seen) {
+    public void updateHostCount(int seen) {
         hosts = Math.max(hosts, seen);
     }
 
     /** Notes a request for a service. */
-    public void requested(ServiceName service, long now) {
+    public void recordRequest(ServiceName service, long now) {
         Window window = window(service);
         window.requests.addLast(now);
         forget(window.requests, now);
     }
 
     /** Takes one resend of a service's requests out of its allowance, if there is one left. */
-    public boolean take(ServiceName service, long now) {
+    public boolean tryTake(ServiceName service, long now) {
         Window window = window(service);
         forget(window.requests, now);
         forget(window.resends, now);
-        if (left(window) < 1) {
+        if (remaining(window) < 1) {
             return false;
         }
         window.resends.addLast(now);
@@ -73,14 +73,14 @@
     }
 
     /** Returns how many resends the service with the fewest has left, as of its last request. */
-    public double left() {
+    public double remaining() {
         return windows.values().stream()
-                .mapToDouble(this::left)
+                .mapToDouble(this::remaining)
                 .min()
                 .orElse(USED_SHARE * commonSlack / hosts);
     }
 
-    private double left(Window window) {
+    private double remaining(Window window) {
         double allowed = USED_SHARE * (ratio * window.requests.size() + commonSlack / hosts);
         return allowed - window.resends.size();
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/ApartDispatcher.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/SuspectDispatcher.java
@@ -10,13 +10,13 @@
  * Picks instances for requests that may have ended one: apart from each other, and each copy of one
  * at the same instance, so that it ends as few as can be.
  */
-public final class ApartDispatcher {
+public final class SuspectDispatcher {
 
     private final Dispatcher dispatcher;
     private final Trials trials;
 
     /** Creates a dispatcher of suspects beside that of all other requests. */
-    public ApartDispatcher(Dispatcher dispatcher, Trials trials) {
+    public SuspectDispatcher(Dispatcher dispatcher, Trials trials) {
         this.dispatcher = dispatcher;
         this.trials = trials;
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/Patience.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/WaitBudget.java
@@ -11,39 +11,39 @@
  * that were refused for want of their model were refused 2.0 to 2.15 s after they came, while loads
  * from a disk take 2.0 to 2.3 s (counted in the log).
  */
-public final class Patience {
+public final class WaitBudget {
 
-    private static final int EXPECTED_TIMES = 2;
+    private static final int EXPECTED_WAIT_FACTOR = 2;
 
-    private final long latest;
-    private Duration longest = Duration.ZERO;
-    private boolean waits;
-    private long until;
+    private final long deadline;
+    private Duration longestExpected = Duration.ZERO;
+    private boolean waiting;
+    private long giveUpAt;
 
     /**
      * Creates the patience of a request that has just come or begun to wait again.
      *
      * @param latest when a send is of no use any more, on the monotonic clock in nanoseconds
      */
-    public Patience(long latest) {
-        this.latest = latest;
+    public WaitBudget(long latest) {
+        this.deadline = latest;
     }
 
     /** Returns whether what is known to come after some time comes too late. */
-    public boolean isTooLate(Duration left, long now) {
-        beginToWait();
-        return isTooLateToBegin(left, now);
+    public boolean isDueTooLate(Duration left, long now) {
+        startWaiting();
+        return wouldMissDeadline(left, now);
     }
 
     /** Notes that the request waits for what comes in time, until that would be too late. */
-    public void beginToWait() {
-        waits = true;
-        until = latest;
+    public void startWaiting() {
+        waiting = true;
+        giveUpAt = deadline;
     }
 
     /** Returns whether what takes some time, and begins now at the earliest, comes too late. */
-    public boolean isTooLateToBegin(Duration time, long now) {
-        return now + time.toNanos() - latest > 0;
+    public boolean wouldMissDeadline(Duration time, long now) {
+        return now + time.toNanos() - deadline > 0;
     }
 
     /**
@@ -52,16 +52,16 @@
      * @param expected how long what it waits for takes from its beginning on, or zero where it may
      *     come at any moment
      */
-    public boolean isOver(Duration expected, long now) {
-        if (!waits && now + expected.toNanos() - latest > 0) {
+    public boolean isExhausted(Duration expected, long now) {
+        if (!waiting && now + expected.toNanos() - deadline > 0) {
             return true;
         }
-        if (!waits || expected.compareTo(longest) > 0 || expected.isZero()) {
-            waits = true;
-            longest = expected;
-            long end = now + EXPECTED_TIMES * expected.toNanos();
-            until = expected.isZero() || end - latest > 0 ? latest : end;
+        if (!waiting || expected.compareTo(longestExpected) > 0 || expected.isZero()) {
+            waiting = true;
+            longestExpected = expected;
+            long end = now + EXPECTED_WAIT_FACTOR * expected.toNanos();
+            giveUpAt = expected.isZero() || end - deadline > 0 ? deadline : end;
         }
-        return now - until >= 0;
+        return now - giveUpAt >= 0;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/WorkReports.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/WorkReports.java
@@ -19,17 +19,17 @@
 public final class WorkReports {
 
     private final Map<HostId, Report> reports = new HashMap<>();
-    private long lifetimeNanos = new ReportPace(0).lifetime().toNanos();
+    private long lifetimeNanos = new ReportTiming(0).lifetime().toNanos();
 
     private record Report(Map<UpstreamId, Integer> work, long at) {}
 
     /** Takes in how many entry hosts there are, by which reports come more or less often. */
-    public void shared(int hosts) {
-        lifetimeNanos = new ReportPace(hosts).lifetime().toNanos();
+    public void setHostCount(int hosts) {
+        lifetimeNanos = new ReportTiming(hosts).lifetime().toNanos();
     }
 
     /** Takes in what a host says; instances that it does not name have no work. */
-    public void reported(HostId host, Map<UpstreamId, Integer> work, long now) {
+    public void put(HostId host, Map<UpstreamId, Integer> work, long now) {
         reports.put(host, new Report(Map.copyOf(work), now));
         reports.values().removeIf(report -> now - report.at() > lifetimeNanos);
     }
@@ -40,12 +40,12 @@
     }
 
     /** Returns the work of all hosts but one, added up. */
-    public Map<UpstreamId, Integer> sumWithout(HostId host, long now) {
+    public Map<UpstreamId, Integer> sumExcluding(HostId host, long now) {
         return merged(host, Integer::sum, now);
     }
 
     /** Returns the most that any host has said of each instance: one that is cut off hears less. */
-    public Map<UpstreamId, Integer> most(long now) {
+    public Map<UpstreamId, Integer> max(long now) {
         return merged(null, Integer::max, now);
     }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/AdmissionTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/AdmissionTest.java
@@ -43,10 +43,10 @@
         Choice missing = new Choice.ModelMissing(Duration.ofMillis(2300));
         assertThat(judge(missing, 0)).isEqualTo(new Verdict.Wait(WaitReason.MODEL_ABSENT));
         long soon = NOW + Duration.ofSeconds(1).toNanos();
-        assertThat(admission.judge(missing, 0, soon))
+        assertThat(admission.decide(missing, 0, soon))
                 .isEqualTo(new Verdict.Wait(WaitReason.MODEL_ABSENT));
         long later = NOW + Duration.ofMillis(1100).toNanos();
-        assertThat(admission.judge(missing, 0, later))
+        assertThat(admission.decide(missing, 0, later))
                 .isEqualTo(
                         new Verdict.GiveUp("its model is not resident", Duration.ofMillis(2600)));
     }
@@ -71,11 +71,11 @@
     @Test
     void placeIsAwaitedToTheEndWhereItsTimeIsNotKnown() {
         assertThat(judge(new Choice.Full(0), 1000)).isEqualTo(new Verdict.Wait(WaitReason.FULL));
-        assertThat(admission.judge(new Choice.Full(0), 1000, NOW + TIME.toNanos()))
+        assertThat(admission.decide(new Choice.Full(0), 1000, NOW + TIME.toNanos()))
                 .isInstanceOf(Verdict.GiveUp.class);
     }
 
     private Verdict judge(Choice choice, int ahead) {
-        return admission.judge(choice, ahead, NOW);
+        return admission.decide(choice, ahead, NOW);
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/BackpressureProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/BackpressureProperties.java
@@ -37,11 +37,11 @@
     @Property(tries = 300)
     void nothingIsSentInARestOrAfterLeavingAndNobodyIsRefusedWhileAnotherHasRoom(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int instances) {
-        new Play(seed, instances).run();
+        new Scenario(seed, instances).run();
     }
 
     /** One host, and what upstreams have told it. */
-    private static final class Play {
+    private static final class Scenario {
         private final Random random;
         private final LimitedUpstreams limits;
         private final Dispatcher dispatcher;
@@ -54,7 +54,7 @@
         private long sequence;
         private long words;
 
-        Play(long seed, int instances) {
+        Scenario(long seed, int instances) {
             random = new Random(seed);
             limits = new LimitedUpstreams(new HostId("entry-1"), random);
             dispatcher =
@@ -75,7 +75,7 @@
                 UpstreamId id = ids.get(random.nextInt(ids.size()));
                 switch (random.nextInt(12)) {
                     case 0 -> heartbeat(id);
-                    case 1 -> leaves(id);
+                    case 1 -> drain(id);
                     case 2 -> limit(id);
                     default -> request();
                 }
@@ -84,13 +84,13 @@
 
         private void heartbeat(UpstreamId id) {
             Instance report = instance(id.value(), ++sequence, "m");
-            table.merge(report, now).forEach(dispatcher::changed);
+            table.merge(report, now).forEach(dispatcher::updateInstance);
         }
 
-        private void leaves(UpstreamId id) {
+        private void drain(UpstreamId id) {
             if (random.nextInt(8) == 0) {
                 leaving.add(id);
-                table.drain(id).forEach(dispatcher::changed);
+                table.drain(id).forEach(dispatcher::updateInstance);
             }
         }
 
@@ -118,20 +118,20 @@
         private void sent(UpstreamId id, Need need) {
             assertThat(leaving).doesNotContain(id);
             assertThat(restEnds.getOrDefault(id, now)).isLessThanOrEqualTo(now);
-            Sending sending = dispatcher.began(id, need, now);
+            InFlightRequest sending = dispatcher.requestSent(id, need, now);
             if (random.nextInt(3) == 0) {
-                turnAway(sending);
+                reject(sending);
             } else {
-                dispatcher.answered(sending, now);
+                dispatcher.responseStarted(sending, now);
             }
-            dispatcher.ended(sending, now);
+            dispatcher.requestEnded(sending, now);
         }
 
-        private void turnAway(Sending sending) {
+        private void reject(InFlightRequest sending) {
             UpstreamId id = sending.instance();
-            dispatcher.answeredInFailure(sending, false);
+            dispatcher.errorResponseStarted(sending, false);
             Duration rest = Duration.ofMillis(random.nextLong(3000));
-            dispatcher.wantsRest(id, rest, now);
+            dispatcher.restRequested(id, rest, now);
             restEnds.merge(id, now + rest.toNanos(), Math::max);
         }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/ColdShareTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/ColdInstanceLimiterTest.java
@@ -14,12 +14,12 @@
  * An instance that was back cold got all that each of many hosts had for it, several times what it
  * bears, and ended again.
  */
-class ColdShareTest {
+class ColdInstanceLimiterTest {
 
-    private static final double BEARS_PER_SECOND = 11;
+    private static final double CAPACITY_PER_SECOND = 11;
 
     /** Half as much again as it bears, and a few, is too much. */
-    private static final double MOST_IN_A_SECOND = 1.5 * BEARS_PER_SECOND + 5;
+    private static final double MAX_IN_A_SECOND = 1.5 * CAPACITY_PER_SECOND + 5;
 
     private static final int SEEDS = 200;
     private static final UpstreamId COLD = new UpstreamId("cold");
@@ -33,33 +33,34 @@
                 for (boolean quietFirst : new boolean[] {false, true}) {
                     ColdReturnReplay.Outcome outcome =
                             new ColdReturnReplay(seed, hosts)
-                                    .play(asked, BEARS_PER_SECOND, quietFirst);
-                    assertThat(outcome.mostInASecond())
+                                    .play(asked, CAPACITY_PER_SECOND, quietFirst);
+                    assertThat(outcome.maxInASecond())
                             .as("seed %d asked %s quiet %s", seed, asked, quietFirst)
-                            .isLessThanOrEqualTo((int) MOST_IN_A_SECOND);
+                            .isLessThanOrEqualTo((int) MAX_IN_A_SECOND);
                     sent += asked > 50 && !quietFirst ? outcome.sent() : 0;
                 }
             }
         }
         double perSecond = sent / (2.0 * SEEDS * 3);
-        assertThat(perSecond).as("is used all the same").isGreaterThan(BEARS_PER_SECOND / 5);
+        assertThat(perSecond).as("is used all the same").isGreaterThan(CAPACITY_PER_SECOND / 5);
     }
 
     @Test
     void hostThatDoesNotKnowHowManyThereAreSendsNothing() {
-        ColdShare share = new ColdShare(new Random(1));
-        share.reported(Instances.cold("cold", Duration.ofSeconds(3)));
-        assertThat(share.allows(COLD, BEARS_PER_SECOND, 0)).isFalse();
+        ColdInstanceLimiter share = new ColdInstanceLimiter(new Random(1));
+        share.update(Instances.cold("cold", Duration.ofSeconds(3)));
+        assertThat(share.allows(COLD, CAPACITY_PER_SECOND, 0)).isFalse();
         assertThat(share.allows(COLD, 0, 0)).isTrue();
     }
 
     @Test
     void instanceThatIsWarmAgainGetsWhateverComes() {
-        ColdShare share = new ColdShare(new Random(1));
-        share.reported(Instances.cold("cold", Duration.ofSeconds(3)));
-        assertThat(share.allows(COLD, BEARS_PER_SECOND, 0)).isFalse();
-        assertThat(share.allows(COLD, BEARS_PER_SECOND, Duration.ofSeconds(3).toNanos())).isTrue();
-        share.reported(Instances.cold("cold", Duration.ZERO));
-        assertThat(share.allows(COLD, BEARS_PER_SECOND, 1)).isTrue();
+        ColdInstanceLimiter share = new ColdInstanceLimiter(new Random(1));
+        share.update(Instances.cold("cold", Duration.ofSeconds(3)));
+        assertThat(share.allows(COLD, CAPACITY_PER_SECOND, 0)).isFalse();
+        assertThat(share.allows(COLD, CAPACITY_PER_SECOND, Duration.ofSeconds(3).toNanos()))
+                .isTrue();
+        share.update(Instances.cold("cold", Duration.ZERO));
+        assertThat(share.allows(COLD, CAPACITY_PER_SECOND, 1)).isTrue();
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/ColdReturnReplay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/ColdReturnReplay.java
@@ -17,23 +17,23 @@
 final class ColdReturnReplay {
 
     private static final UpstreamId COLD = new UpstreamId("cold");
-    private static final long COLD_FOR = 3000;
+    private static final long COLD_MILLIS = 3000;
     private static final long QUIET_UNTIL = 1500;
-    private static final long WINDOW = 1000;
+    private static final long WINDOW_MILLIS = 1000;
 
     private final Random random;
-    private final List<ColdShare> hosts = new ArrayList<>();
+    private final List<ColdInstanceLimiter> hosts = new ArrayList<>();
 
     /** What the instance got: the most in any second, and all. */
-    record Outcome(int mostInASecond, int sent) {}
+    record Outcome(int maxInASecond, int sent) {}
 
     ColdReturnReplay(long seed, int hostCount) {
         random = new Random(seed);
-        Instance instance = Instances.cold("cold", Duration.ofMillis(COLD_FOR));
+        Instance instance = Instances.cold("cold", Duration.ofMillis(COLD_MILLIS));
         for (int count = 0; count < hostCount; count++) {
-            ColdShare share = new ColdShare(new Random(random.nextLong()));
-            share.shared(hostCount);
-            share.reported(instance);
+            ColdInstanceLimiter share = new ColdInstanceLimiter(new Random(random.nextLong()));
+            share.setHostCount(hostCount);
+            share.update(instance);
             hosts.add(share);
         }
     }
@@ -49,19 +49,19 @@
         int most = 0;
         int sent = 0;
         hosts.forEach(host -> host.allows(COLD, bearsPerSecond, nanos(0)));
-        for (long at = 0; at < COLD_FOR; at++) {
-            boolean asked = random.nextDouble() < askedPerSecond / WINDOW;
+        for (long at = 0; at < COLD_MILLIS; at++) {
+            boolean asked = random.nextDouble() < askedPerSecond / WINDOW_MILLIS;
             if (!asked || (quietFirst && at < QUIET_UNTIL)) {
                 continue;
             }
-            ColdShare host = hosts.get(random.nextInt(hosts.size()));
+            ColdInstanceLimiter host = hosts.get(random.nextInt(hosts.size()));
             if (!host.allows(COLD, bearsPerSecond, nanos(at))) {
                 continue;
             }
-            host.sent(COLD, bearsPerSecond, nanos(at));
+            host.recordSent(COLD, bearsPerSecond, nanos(at));
             sent++;
             window.addLast(at);
-            while (at - window.peekFirst() > WINDOW) {
+            while (at - window.peekFirst() > WINDOW_MILLIS) {
                 window.removeFirst();
             }
             most = Math.max(most, window.size());
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/DispatcherTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/DispatcherTest.java
@@ -42,32 +42,32 @@
                         Duration.ofMillis(800));
         EngineSpec spec =
                 new EngineSpec(4, 1000, 300, 2, 1, 200, 600, EngineSpec.byName(List.of(weights)));
-        dispatcher.engines(Map.of(SERVICE, spec));
+        dispatcher.setEngines(Map.of(SERVICE, spec));
     }
 
     @Test
     void requestGoesWhereItsModelIsResident() {
-        dispatcher.changed(instance("a", 1, "other"));
-        dispatcher.changed(instance("bb", 1, "m"));
+        dispatcher.updateInstance(instance("a", 1, "other"));
+        dispatcher.updateInstance(instance("bb", 1, "m"));
         assertThat(sentTo(need(Optional.empty()))).contains("bb");
     }
 
     @Test
     void upstreamThatStartsAgainHasNoWorkOfBefore() {
-        dispatcher.changed(life("a", 100, 9, "m"));
+        dispatcher.updateInstance(life("a", 100, 9, "m"));
         UpstreamId earlier = new UpstreamId("a", 100);
-        Sending sending = dispatcher.began(earlier, need(Optional.empty()), NOW);
-        dispatcher.changed(life("a", 100, 9, "m").withState(InstanceState.GONE));
-        dispatcher.changed(life("a", 200, 1, "m"));
-        dispatcher.ended(sending, NOW);
+        InFlightRequest sending = dispatcher.requestSent(earlier, need(Optional.empty()), NOW);
+        dispatcher.updateInstance(life("a", 100, 9, "m").withState(InstanceState.GONE));
+        dispatcher.updateInstance(life("a", 200, 1, "m"));
+        dispatcher.requestEnded(sending, NOW);
         assertThat(dispatcher.occupancy(new UpstreamId("a", 200), NOW)).isZero();
         assertThat(dispatcher.takeWork()).isEmpty();
     }
 
     @Test
     void drainingAndSilentInstancesGetNothing() {
-        dispatcher.changed(instance("a", 1, "m").withState(InstanceState.DRAINING));
-        dispatcher.changed(instance("bb", 1, "m").withState(InstanceState.SILENT));
+        dispatcher.updateInstance(instance("a", 1, "m").withState(InstanceState.DRAINING));
+        dispatcher.updateInstance(instance("bb", 1, "m").withState(InstanceState.SILENT));
         assertThat(dispatcher.choose(need(Optional.empty()), id -> true, false, NOW))
                 .isEqualTo(new Choice.NobodyServes());
     }
@@ -75,64 +75,64 @@
     @Test
     void instancesOfAnEvacuatedZoneGetNothingUntilThatIsTakenBack() {
         EvacuatedZones evacuated = EvacuatedZones.none().with(new ZoneId("plateau"));
-        dispatcher.changed(instance("a", 1, "m"));
-        dispatcher.changed(elsewhere("yoff", "bb", 1, "m"));
-        dispatcher.evacuated(evacuated);
+        dispatcher.updateInstance(instance("a", 1, "m"));
+        dispatcher.updateInstance(elsewhere("yoff", "bb", 1, "m"));
+        dispatcher.setEvacuatedZones(evacuated);
         for (int count = 0; count < 20; count++) {
             assertThat(sentTo(need(Optional.empty()))).contains("bb");
         }
-        dispatcher.changed(elsewhere("yoff", "bb", 2, "m").withState(InstanceState.GONE));
+        dispatcher.updateInstance(elsewhere("yoff", "bb", 2, "m").withState(InstanceState.GONE));
         assertThat(sentTo(need(Optional.empty()))).isEmpty();
-        dispatcher.evacuated(evacuated.without(new ZoneId("plateau")));
+        dispatcher.setEvacuatedZones(evacuated.without(new ZoneId("plateau")));
         assertThat(sentTo(need(Optional.empty()))).contains("a");
     }
 
     @Test
     void instancesThatWereTriedAreNotUnknown() {
-        dispatcher.changed(instance("a", 1, "m"));
+        dispatcher.updateInstance(instance("a", 1, "m"));
         assertThat(dispatcher.choose(need(Optional.empty()), id -> false, false, NOW))
                 .isEqualTo(new Choice.AllTried());
     }
 
     @Test
     void modelThatIsNowhereIsAwaitedForItsNearestLoad() {
-        dispatcher.changed(instance("a", 1, "other"));
+        dispatcher.updateInstance(instance("a", 1, "other"));
         assertThat(dispatcher.choose(need(Optional.empty()), id -> true, false, NOW))
                 .isEqualTo(new Choice.ModelMissing(Duration.ofSeconds(9)));
     }
 
     @Test
     void adapterIsAskedForWhereItsModelIs() {
-        dispatcher.changed(instance("a", 1, "m"));
+        dispatcher.updateInstance(instance("a", 1, "m"));
         assertThat(dispatcher.choose(need(Optional.of("a1")), id -> true, false, NOW))
                 .isInstanceOf(Choice.AdapterMissing.class);
-        dispatcher.residency(new UpstreamId("a"), MODEL, Optional.of("a1"), true, NOW);
+        dispatcher.updateResidency(new UpstreamId("a"), MODEL, Optional.of("a1"), true, NOW);
         assertThat(sentTo(need(Optional.of("a1")))).contains("a");
     }
 
     @Test
     void modelThatIsLoadedAgainSoonAfterItsUnloadServesAtOnce() {
-        dispatcher.changed(instance("a", 1, "m"));
-        dispatcher.residency(new UpstreamId("a"), MODEL, Optional.empty(), false, NOW);
-        dispatcher.changed(instance("a", 2, "other"));
-        dispatcher.changed(instance("a", 3, "m", "other"));
+        dispatcher.updateInstance(instance("a", 1, "m"));
+        dispatcher.updateResidency(new UpstreamId("a"), MODEL, Optional.empty(), false, NOW);
+        dispatcher.updateInstance(instance("a", 2, "other"));
+        dispatcher.updateInstance(instance("a", 3, "m", "other"));
         assertThat(sentTo(need(Optional.empty()))).contains("a");
     }
 
     @Test
     void adaptersThatWereToldOfLeaveWithTheirModel() {
-        dispatcher.changed(instance("a", 1, "m"));
-        dispatcher.residency(new UpstreamId("a"), MODEL, Optional.of("a1"), true, NOW);
-        dispatcher.changed(instance("a", 2, "other"));
-        dispatcher.changed(instance("a", 3, "m"));
+        dispatcher.updateInstance(instance("a", 1, "m"));
+        dispatcher.updateResidency(new UpstreamId("a"), MODEL, Optional.of("a1"), true, NOW);
+        dispatcher.updateInstance(instance("a", 2, "other"));
+        dispatcher.updateInstance(instance("a", 3, "m"));
         assertThat(dispatcher.choose(need(Optional.of("a1")), id -> true, false, NOW))
                 .isInstanceOf(Choice.AdapterMissing.class);
     }
 
     @Test
     void loadThatIsUnderWayIsAwaitedForWhatIsLeftOfIt() {
-        dispatcher.changed(instance("a", 1, "other"));
-        dispatcher.coming(new UpstreamId("a"), MODEL, Duration.ofSeconds(2), NOW);
+        dispatcher.updateInstance(instance("a", 1, "other"));
+        dispatcher.loadStarted(new UpstreamId("a"), MODEL, Duration.ofSeconds(2), NOW);
         long later = NOW + Duration.ofMillis(1500).toNanos();
         assertThat(dispatcher.choose(need(Optional.empty()), id -> true, false, later))
                 .isEqualTo(new Choice.ModelComing(Duration.ofMillis(500)));
@@ -140,8 +140,8 @@
 
     @Test
     void loadThatDidNotComeIsNotAwaited() {
-        dispatcher.changed(instance("a", 1, "other"));
-        dispatcher.coming(new UpstreamId("a"), MODEL, Duration.ofSeconds(2), NOW);
+        dispatcher.updateInstance(instance("a", 1, "other"));
+        dispatcher.loadStarted(new UpstreamId("a"), MODEL, Duration.ofSeconds(2), NOW);
         long later = NOW + Duration.ofSeconds(5).toNanos();
         assertThat(dispatcher.choose(need(Optional.empty()), id -> true, false, later))
                 .isInstanceOf(Choice.ModelMissing.class);
@@ -149,20 +149,21 @@
 
     @Test
     void engineGetsNoFourthPromptWhileThreeAreUnread() {
-        dispatcher.changed(instance("a", 1, "m"));
-        Sending first = dispatcher.began(new UpstreamId("a"), need(Optional.empty()), NOW);
-        dispatcher.began(new UpstreamId("a"), need(Optional.empty()), NOW);
-        dispatcher.began(new UpstreamId("a"), need(Optional.empty()), NOW);
+        dispatcher.updateInstance(instance("a", 1, "m"));
+        InFlightRequest first =
+                dispatcher.requestSent(new UpstreamId("a"), need(Optional.empty()), NOW);
+        dispatcher.requestSent(new UpstreamId("a"), need(Optional.empty()), NOW);
+        dispatcher.requestSent(new UpstreamId("a"), need(Optional.empty()), NOW);
         assertThat(dispatcher.choose(need(Optional.empty()), id -> true, false, NOW))
                 .isInstanceOf(Choice.Full.class);
-        dispatcher.answered(first, NOW + Duration.ofMillis(100).toNanos());
+        dispatcher.responseStarted(first, NOW + Duration.ofMillis(100).toNanos());
         assertThat(sentTo(need(Optional.empty()))).contains("a");
     }
 
     @Test
     void modelThatIsAboutToGoGetsNothingNew() {
-        dispatcher.changed(instance("a", 1, "m"));
-        dispatcher.residency(new UpstreamId("a"), MODEL, Optional.empty(), false, NOW);
+        dispatcher.updateInstance(instance("a", 1, "m"));
+        dispatcher.updateResidency(new UpstreamId("a"), MODEL, Optional.empty(), false, NOW);
         assertThat(dispatcher.choose(need(Optional.empty()), id -> true, false, NOW))
                 .isInstanceOf(Choice.ModelMissing.class);
         long later = NOW + Duration.ofSeconds(3).toNanos();
@@ -172,19 +173,19 @@
 
     @Test
     void adapterThatIsAboutToGoIsAskedForAgain() {
-        dispatcher.changed(instance("a", 1, "m"));
+        dispatcher.updateInstance(instance("a", 1, "m"));
         Optional<String> adapter = Optional.of("a1");
-        dispatcher.residency(new UpstreamId("a"), MODEL, adapter, true, NOW);
-        dispatcher.residency(new UpstreamId("a"), MODEL, adapter, false, NOW);
+        dispatcher.updateResidency(new UpstreamId("a"), MODEL, adapter, true, NOW);
+        dispatcher.updateResidency(new UpstreamId("a"), MODEL, adapter, false, NOW);
         assertThat(dispatcher.choose(need(adapter), id -> true, false, NOW))
                 .isInstanceOf(Choice.AdapterMissing.class);
     }
 
     @Test
     void fullInstancesMakeRequestsWait() {
-        dispatcher.changed(instance("a", 1, "m"));
+        dispatcher.updateInstance(instance("a", 1, "m"));
         for (int count = 0; count < 4; count++) {
-            dispatcher.began(new UpstreamId("a"), need(Optional.empty()), NOW);
+            dispatcher.requestSent(new UpstreamId("a"), need(Optional.empty()), NOW);
         }
         assertThat(dispatcher.choose(need(Optional.empty()), id -> true, false, NOW))
                 .isEqualTo(new Choice.Full(3 / 0.15));
@@ -192,25 +193,25 @@
 
     @Test
     void instanceThatDoesNotAnswerIsAvoidedWhileAnotherDoes() {
-        dispatcher.changed(instance("a", 1, "m"));
-        dispatcher.changed(instance("bb", 1, "m"));
-        dispatcher.began(new UpstreamId("a"), need(Optional.empty()), NOW);
+        dispatcher.updateInstance(instance("a", 1, "m"));
+        dispatcher.updateInstance(instance("bb", 1, "m"));
+        dispatcher.requestSent(new UpstreamId("a"), need(Optional.empty()), NOW);
         long later = NOW + Duration.ofSeconds(3).toNanos();
         for (int count = 0; count < 3; count++) {
             assertThat(dispatcher.choose(need(Optional.empty()), id -> true, false, later))
                     .matches(choice -> idOf(choice).equals(Optional.of("bb")));
-            dispatcher.began(new UpstreamId("bb"), need(Optional.empty()), later);
+            dispatcher.requestSent(new UpstreamId("bb"), need(Optional.empty()), later);
         }
     }
 
     @Test
     void placeAtAnInstanceThatAnswersIsAwaitedRatherThanASilentOneTaken() {
-        dispatcher.changed(instance("a", 1, "m"));
-        dispatcher.changed(instance("bb", 1, "m"));
-        dispatcher.began(new UpstreamId("a"), need(Optional.empty()), NOW);
+        dispatcher.updateInstance(instance("a", 1, "m"));
+        dispatcher.updateInstance(instance("bb", 1, "m"));
+        dispatcher.requestSent(new UpstreamId("a"), need(Optional.empty()), NOW);
         long later = NOW + Duration.ofSeconds(3).toNanos();
         for (int count = 0; count < 3; count++) {
-            dispatcher.began(new UpstreamId("bb"), need(Optional.empty()), later);
+            dispatcher.requestSent(new UpstreamId("bb"), need(Optional.empty()), later);
         }
         assertThat(dispatcher.choose(need(Optional.empty()), id -> true, false, later))
                 .isInstanceOf(Choice.Full.class);
@@ -219,37 +220,38 @@
     @Test
     void requestsOfOtherHostsFillAnInstanceUnlessItTellsOtherwise() {
         UpstreamId id = new UpstreamId("a");
-        dispatcher.changed(instance("a", 1, "m"));
-        dispatcher.othersTold(Map.of(id, 4), NOW);
+        dispatcher.updateInstance(instance("a", 1, "m"));
+        dispatcher.updateRemoteRequests(Map.of(id, 4), NOW);
         assertThat(dispatcher.choose(need(Optional.empty()), any -> true, false, NOW))
                 .isInstanceOf(Choice.Full.class);
-        dispatcher.told(id, 1, NOW);
-        dispatcher.othersTold(Map.of(id, 4), NOW);
+        dispatcher.updateReportedLoad(id, 1, NOW);
+        dispatcher.updateRemoteRequests(Map.of(id, 4), NOW);
         assertThat(sentTo(need(Optional.empty()))).contains("a");
     }
 
     @Test
     void workIsToldWithWhatWasAnsweredSlowly() {
         UpstreamId id = new UpstreamId("a");
-        dispatcher.changed(instance("a", 1, "m"));
-        dispatcher.objectives(Map.of(SERVICE, Duration.ofMillis(400)));
-        Sending slow = dispatcher.began(id, need(Optional.empty()), NOW);
-        dispatcher.began(id, need(Optional.empty()), NOW);
-        dispatcher.answered(slow, NOW + Duration.ofMillis(390).toNanos());
+        dispatcher.updateInstance(instance("a", 1, "m"));
+        dispatcher.setObjectives(Map.of(SERVICE, Duration.ofMillis(400)));
+        InFlightRequest slow = dispatcher.requestSent(id, need(Optional.empty()), NOW);
+        dispatcher.requestSent(id, need(Optional.empty()), NOW);
+        dispatcher.responseStarted(slow, NOW + Duration.ofMillis(390).toNanos());
         assertThat(dispatcher.takeWork()).isEqualTo(Map.of(id, new InstanceWork(2, 1, 1)));
         assertThat(dispatcher.takeWork()).isEqualTo(Map.of(id, new InstanceWork(2, 0, 0)));
     }
 
     @Test
     void endedRequestsLeaveNoWorkBehind() {
-        dispatcher.changed(instance("a", 1, "m"));
+        dispatcher.updateInstance(instance("a", 1, "m"));
         for (int count = 0; count < 50; count++) {
-            Sending sending = dispatcher.began(new UpstreamId("a"), need(Optional.empty()), NOW);
+            InFlightRequest sending =
+                    dispatcher.requestSent(new UpstreamId("a"), need(Optional.empty()), NOW);
             if (count % 2 == 0) {
-                dispatcher.answered(sending, NOW);
+                dispatcher.responseStarted(sending, NOW);
             }
-            dispatcher.ended(sending, NOW);
-            dispatcher.ended(sending, NOW);
+            dispatcher.requestEnded(sending, NOW);
+            dispatcher.requestEnded(sending, NOW);
         }
         assertThat(dispatcher.occupancy(new UpstreamId("a"), NOW)).isZero();
         assertThat(sentTo(need(Optional.empty()))).contains("a");
@@ -257,26 +259,26 @@
 
     @Test
     void resendsStayWithinTheRatioAndTheSlack() {
-        RetryAllowance allowance = new RetryAllowance(0.2, 10, 2, Duration.ofSeconds(10));
+        RetryLimiter allowance = new RetryLimiter(0.2, 10, 2, Duration.ofSeconds(10));
         for (int count = 0; count < 50; count++) {
-            allowance.requested(SERVICE, NOW);
+            allowance.recordRequest(SERVICE, NOW);
         }
         long taken = 0;
-        while (allowance.take(SERVICE, NOW)) {
+        while (allowance.tryTake(SERVICE, NOW)) {
             taken++;
         }
         assertThat(taken).isEqualTo(12);
-        assertThat(allowance.take(SERVICE, NOW + Duration.ofSeconds(11).toNanos())).isTrue();
+        assertThat(allowance.tryTake(SERVICE, NOW + Duration.ofSeconds(11).toNanos())).isTrue();
     }
 
     @Test
     void slackIsSharedByAsManyHostsAsWereEverSeen() {
-        RetryAllowance allowance = new RetryAllowance(0, 100, 2, Duration.ofSeconds(10));
-        allowance.shared(40);
-        allowance.shared(1);
-        assertThat(allowance.take(SERVICE, NOW)).isTrue();
-        assertThat(allowance.take(SERVICE, NOW)).isTrue();
-        assertThat(allowance.take(SERVICE, NOW)).isFalse();
+        RetryLimiter allowance = new RetryLimiter(0, 100, 2, Duration.ofSeconds(10));
+        allowance.updateHostCount(40);
+        allowance.updateHostCount(1);
+        assertThat(allowance.tryTake(SERVICE, NOW)).isTrue();
+        assertThat(allowance.tryTake(SERVICE, NOW)).isTrue();
+        assertThat(allowance.tryTake(SERVICE, NOW)).isFalse();
     }
 
     private Optional<String> sentTo(Need need) {
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/LimitedDispatchTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/LimitedDispatchTest.java
@@ -59,26 +59,26 @@
                         Duration.ofMillis(800));
         EngineSpec spec =
                 new EngineSpec(4, 1000, 300, 2, 1, 200, 600, EngineSpec.byName(List.of(weights)));
-        dispatcher.engines(Map.of(SERVICE, spec));
-        dispatcher.changed(instance("a", 1, "m"));
+        dispatcher.setEngines(Map.of(SERVICE, spec));
+        dispatcher.updateInstance(instance("a", 1, "m"));
         limits.told(new LimitWord(LIMITED, OptionalDouble.of(1), false, new LimitRevision(1, 1)));
     }
 
     @Test
     void requestGoesToAnotherInstanceAtOnce() {
-        dispatcher.changed(instance("bb", 1, "m"));
+        dispatcher.updateInstance(instance("bb", 1, "m"));
         assertThat(choice())
-                .isInstanceOfSatisfying(Choice.Send.class, LimitedDispatchTest::sparesIt);
+                .isInstanceOfSatisfying(Choice.Send.class, LimitedDispatchTest::assertNotLimited);
         assertThat(limits.wants(NOW)).extracting(PermitWant::spare).containsExactly(true);
     }
 
-    private static void sparesIt(Choice.Send sent) {
+    private static void assertNotLimited(Choice.Send sent) {
         assertThat(sent.instance().id()).isNotEqualTo(LIMITED);
     }
 
     @Test
     void requestThatNobodyElseServesWaitsForAPermit() {
-        dispatcher.changed(instance("bb", 1, "other"));
+        dispatcher.updateInstance(instance("bb", 1, "other"));
         Choice choice = choice();
         assertThat(choice).isInstanceOf(Choice.Limited.class);
         PermitWant want = limits.wants(NOW).getFirst();
@@ -86,16 +86,16 @@
         limits.answered(
                 new PermitAnswer(HOST, LIMITED, want.askedAt(), true, PermitWaits.unknown()), NOW);
         assertThat(choice()).isInstanceOf(Choice.Send.class);
-        dispatcher.began(LIMITED, NEED, NOW);
+        dispatcher.requestSent(LIMITED, NEED, NOW);
         assertThat(choice()).isInstanceOf(Choice.Limited.class);
     }
 
     @Test
     void requestWhosePermitComesTooLateIsRefusedAtOnceWithThatTime() {
         choice();
-        tell(Duration.ofSeconds(7));
+        denyPermitFor(Duration.ofSeconds(7));
         Admission admission = new Admission(NOW + Duration.ofSeconds(4).toNanos());
-        assertThat(admission.judge(choice(), 0, NOW))
+        assertThat(admission.decide(choice(), 0, NOW))
                 .isInstanceOfSatisfying(
                         Admission.Verdict.GiveUp.class,
                         refused ->
@@ -104,44 +104,44 @@
 
     @Test
     void requestWhosePermitComesTooLateWaitsForACopyElsewhereThatComesInTime() {
-        dispatcher.changed(instance("bb", 1, "other"));
-        dispatcher.coming(new UpstreamId("bb"), MODEL, Duration.ofSeconds(2), NOW);
+        dispatcher.updateInstance(instance("bb", 1, "other"));
+        dispatcher.loadStarted(new UpstreamId("bb"), MODEL, Duration.ofSeconds(2), NOW);
         choice();
-        tell(Duration.ofSeconds(7));
+        denyPermitFor(Duration.ofSeconds(7));
         Admission admission = new Admission(NOW + Duration.ofSeconds(4).toNanos());
-        assertThat(admission.judge(choice(), 0, NOW))
+        assertThat(admission.decide(choice(), 0, NOW))
                 .isEqualTo(new Admission.Verdict.Wait(WaitReason.MODEL_LOADING));
     }
 
     @Test
     void requestWhosePermitAndModelComeTooLateIsRefusedAtOnce() {
-        dispatcher.changed(instance("bb", 1, "other"));
+        dispatcher.updateInstance(instance("bb", 1, "other"));
         choice();
-        tell(Duration.ofSeconds(12));
+        denyPermitFor(Duration.ofSeconds(12));
         // Nothing would be left of its time after the load.
         Admission admission = new Admission(NOW + LOAD.plusMillis(100).toNanos());
-        assertThat(admission.judge(choice(), 0, NOW)).isInstanceOf(Admission.Verdict.GiveUp.class);
+        assertThat(admission.decide(choice(), 0, NOW)).isInstanceOf(Admission.Verdict.GiveUp.class);
     }
 
     @Test
     void requestWhosePermitComesAfterItsObjectiveDoesNotKeepThoseBehindItWaiting() {
         choice();
-        tell(Duration.ofSeconds(2));
+        denyPermitFor(Duration.ofSeconds(2));
         long deadline = NOW + Duration.ofSeconds(5).toNanos();
         Admission urgent = new Admission(deadline, NOW + Duration.ofMillis(700).toNanos());
-        assertThat(urgent.judge(choice(), 0, NOW))
+        assertThat(urgent.decide(choice(), 0, NOW))
                 .isInstanceOfSatisfying(
                         Admission.Verdict.GiveUp.class,
                         refused ->
                                 assertThat(refused.retryAfter()).isEqualTo(Duration.ofSeconds(2)));
         Admission patient = new Admission(deadline, NOW + Duration.ofSeconds(4).toNanos());
-        assertThat(patient.judge(choice(), 0, NOW))
+        assertThat(patient.decide(choice(), 0, NOW))
                 .isEqualTo(new Admission.Verdict.Wait(WaitReason.LIMIT));
     }
 
     @Test
     void adapterIsWantedWhereThereIsNoLimit() {
-        dispatcher.changed(instance("bb", 1, "m"));
+        dispatcher.updateInstance(instance("bb", 1, "m"));
         Need need =
                 new Need(SERVICE, Optional.of(MODEL), Optional.of("a1"), List.of(), 1000, 20, 1);
         assertThat(dispatcher.choose(need, id -> true, false, NOW))
@@ -152,7 +152,7 @@
                                         .isEqualTo(new UpstreamId("bb")));
     }
 
-    private void tell(Duration first) {
+    private void denyPermitFor(Duration first) {
         PermitWant want = limits.wants(NOW).getFirst();
         PermitWaits waits =
                 new PermitWaits(List.of(first), first.plusSeconds(1), Duration.ofSeconds(1));
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/ManyHostsReplay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/ManyHostsReplay.java
@@ -25,12 +25,12 @@
 
     private static final long LENGTH = 8000;
     private static final long OBJECTIVE = 800;
-    private static final long LOOK = 25;
+    private static final long RECHECK_INTERVAL = 25;
 
     /** How long callers wait, but for the time that a send needs. */
-    static final long PATIENCE = 4650;
+    static final long DEADLINE = 4650;
 
-    private static final int TOKENS = 1800;
+    private static final int PROMPT_TOKENS = 1800;
     private static final double TOKENS_PER_MILLI = 19;
     private static final long FIRST_COPY_AFTER = 1200;
     private static final long COPY_EVERY = 600;
@@ -39,19 +39,19 @@
     private final Random random;
     private final int hosts;
     private final double perSecond;
-    private final boolean told;
+    private final boolean shareUnread;
     private final List<Dispatcher> dispatchers = new ArrayList<>();
     private final Map<UpstreamId, Long> readUntil = new HashMap<>();
-    private final PriorityQueue<Reading> readings =
+    private final PriorityQueue<PromptCompletion> completions =
             new PriorityQueue<>((one, other) -> Long.compare(one.at(), other.at()));
     private final List<Waiting> waiting = new ArrayList<>();
-    private int asked;
+    private int arrived;
     private int inTime;
     private int refused;
-    private long heldMillis;
+    private long refusedWaitMillis;
 
     /** A prompt that an engine will have read at a moment. */
-    private record Reading(long at, int host, Sending sending, long arrivedAt) {}
+    private record PromptCompletion(long at, int host, InFlightRequest sending, long arrivedAt) {}
 
     /** A request that waits at its host. */
     private record Waiting(int host, long arrivedAt, Admission admission) {}
@@ -60,20 +60,20 @@
      * What became of the requests.
      *
      * @param inTime the share whose first event comes within the objective
-     * @param heldMillis how long those that are refused waited for it, in the mean
+     * @param refusedWaitMillis how long those that are refused waited for it, in the mean
      */
-    record Outcome(double inTime, double heldMillis) {}
+    record Outcome(double inTime, double refusedWaitMillis) {}
 
     /**
      * Creates a play.
      *
-     * @param told whether hosts tell each other how much there is to read
+     * @param shareUnread whether hosts tell each other how much there is to read
      */
-    ManyHostsReplay(long seed, int hosts, double perSecond, boolean told) {
+    ManyHostsReplay(long seed, int hosts, double perSecond, boolean shareUnread) {
         this.random = new Random(seed);
         this.hosts = hosts;
         this.perSecond = perSecond;
-        this.told = told;
+        this.shareUnread = shareUnread;
         for (int host = 0; host < hosts; host++) {
             dispatchers.add(dispatcher(seed * 1000 + host));
         }
@@ -82,15 +82,16 @@
     /** Plays to the end. */
     Outcome play() {
         for (long now = 1; now < LENGTH; now++) {
-            copiesCome(now);
-            read(now);
-            tell(now);
+            addCopies(now);
+            completePrompts(now);
+            exchangeReports(now);
             arrive(now);
-            if (now % LOOK == 0) {
-                lookAgain(now);
+            if (now % RECHECK_INTERVAL == 0) {
+                recheckWaiting(now);
             }
         }
-        return new Outcome((double) inTime / asked, (double) heldMillis / Math.max(1, refused));
+        return new Outcome(
+                (double) inTime / arrived, (double) refusedWaitMillis / Math.max(1, refused));
     }
 
     private static Dispatcher dispatcher(long seed) {
@@ -107,46 +108,46 @@
         EngineSpec spec =
                 new EngineSpec(
                         64, 93_922, 300, 2, 1, 200, 600, EngineSpec.byName(List.of(weights)));
-        dispatcher.engines(Map.of(SERVICE, spec));
-        dispatcher.objectives(Map.of(SERVICE, Duration.ofMillis(OBJECTIVE)));
+        dispatcher.setEngines(Map.of(SERVICE, spec));
+        dispatcher.setObjectives(Map.of(SERVICE, Duration.ofMillis(OBJECTIVE)));
         warmUp(dispatcher);
         return dispatcher;
     }
 
     /** The host has seen how fast engines read. */
     private static void warmUp(Dispatcher dispatcher) {
-        dispatcher.changed(instance("warm", 1, "other"));
+        dispatcher.updateInstance(instance("warm", 1, "other"));
         for (int count = 0; count < 8; count++) {
-            Sending sending = dispatcher.began(new UpstreamId("warm"), need(), 0);
-            long nanos = nanos(Math.round(TOKENS / TOKENS_PER_MILLI));
-            dispatcher.answered(sending, nanos);
-            dispatcher.ended(sending, nanos);
+            InFlightRequest sending = dispatcher.requestSent(new UpstreamId("warm"), need(), 0);
+            long nanos = nanos(Math.round(PROMPT_TOKENS / TOKENS_PER_MILLI));
+            dispatcher.responseStarted(sending, nanos);
+            dispatcher.requestEnded(sending, nanos);
         }
     }
 
-    private void copiesCome(long now) {
+    private void addCopies(long now) {
         long since = now - FIRST_COPY_AFTER;
         boolean further = since >= 0 && since % COPY_EVERY == 0 && since / COPY_EVERY < COPIES - 1;
         if (now == 1 || further) {
             String name = now == 1 ? "a0" : "a" + (1 + since / COPY_EVERY);
-            dispatchers.forEach(dispatcher -> dispatcher.changed(instance(name, 1, "m")));
+            dispatchers.forEach(dispatcher -> dispatcher.updateInstance(instance(name, 1, "m")));
             readUntil.put(new UpstreamId(name), now);
         }
     }
 
-    private void read(long now) {
-        while (!readings.isEmpty() && readings.peek().at() <= now) {
-            Reading reading = readings.poll();
+    private void completePrompts(long now) {
+        while (!completions.isEmpty() && completions.peek().at() <= now) {
+            PromptCompletion reading = completions.poll();
             Dispatcher dispatcher = dispatchers.get(reading.host());
-            dispatcher.answered(reading.sending(), nanos(now));
-            dispatcher.ended(reading.sending(), nanos(now));
+            dispatcher.responseStarted(reading.sending(), nanos(now));
+            dispatcher.requestEnded(reading.sending(), nanos(now));
             inTime += now - reading.arrivedAt() <= OBJECTIVE ? 1 : 0;
         }
     }
 
     /** Each host is told every 150 ms what the others had a while before. */
-    private void tell(long now) {
-        if (!told || now % 150 != 0) {
+    private void exchangeReports(long now) {
+        if (!shareUnread || now % 150 != 0) {
             return;
         }
         Map<UpstreamId, Integer> all = new HashMap<>();
@@ -160,14 +161,14 @@
             dispatcher
                     .unreadTokens()
                     .forEach((id, tokens) -> others.merge(id, -tokens, Integer::sum));
-            dispatcher.othersUnreadTold(others, nanos(now));
+            dispatcher.updateRemoteUnreadTokens(others, nanos(now));
         }
     }
 
     private void arrive(long now) {
         if (random.nextDouble() < perSecond / 1000) {
-            asked++;
-            Admission admission = new Admission(nanos(now + PATIENCE));
+            arrived++;
+            Admission admission = new Admission(nanos(now + DEADLINE));
             Waiting request = new Waiting(random.nextInt(hosts), now, admission);
             if (!settled(request, now)) {
                 waiting.add(request);
@@ -175,7 +176,7 @@
         }
     }
 
-    private void lookAgain(long now) {
+    private void recheckWaiting(long now) {
         waiting.sort(
                 (one, other) ->
                         Boolean.compare(late(one, now), late(other, now)) != 0
@@ -192,14 +193,14 @@
     private boolean settled(Waiting request, long now) {
         Dispatcher dispatcher = dispatchers.get(request.host());
         Choice choice = dispatcher.choose(need(), id -> true, left(request, now), nanos(now));
-        return switch (request.admission().judge(choice, ahead(request, now), nanos(now))) {
+        return switch (request.admission().decide(choice, ahead(request, now), nanos(now))) {
             case Admission.Verdict.Send(Instance instance, String why) -> {
                 send(dispatcher, instance.id(), request, now);
                 yield true;
             }
             case Admission.Verdict.GiveUp giveUp -> {
                 refused++;
-                heldMillis += now - request.arrivedAt();
+                refusedWaitMillis += now - request.arrivedAt();
                 yield true;
             }
             case Admission.Verdict.Wait wait -> false;
@@ -220,11 +221,11 @@
     }
 
     private void send(Dispatcher dispatcher, UpstreamId engine, Waiting request, long now) {
-        Sending sending = dispatcher.began(engine, need(), nanos(now));
+        InFlightRequest sending = dispatcher.requestSent(engine, need(), nanos(now));
         long begins = Math.max(now, readUntil.get(engine));
-        long at = begins + Math.round(TOKENS / TOKENS_PER_MILLI);
+        long at = begins + Math.round(PROMPT_TOKENS / TOKENS_PER_MILLI);
         readUntil.put(engine, at);
-        readings.add(new Reading(at, request.host(), sending, request.arrivedAt()));
+        completions.add(new PromptCompletion(at, request.host(), sending, request.arrivedAt()));
     }
 
     private static Duration left(Waiting request, long now) {
@@ -238,7 +239,13 @@
 
     private static Need need() {
         return new Need(
-                SERVICE, Optional.of(new ModelId("m")), Optional.empty(), List.of(), TOKENS, 8, 1);
+                SERVICE,
+                Optional.of(new ModelId("m")),
+                Optional.empty(),
+                List.of(),
+                PROMPT_TOKENS,
+                8,
+                1);
     }
 
     private static long nanos(long millis) {
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/ManyHostsReplayTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/ManyHostsReplayTest.java
@@ -11,26 +11,29 @@
 class ManyHostsReplayTest {
 
     private static final int SEEDS = 20;
-    private static final double JUMP = 40;
-    private static final double CALM = 6;
-    private static final double OVERLOAD = 80;
+    private static final double SURGE_RATE = 40;
+    private static final double LOW_RATE = 6;
+    private static final double OVERLOAD_RATE = 80;
 
     /** A share of the requests that counts as a gain or a loss. */
-    private static final double CLEAR = 0.03;
+    private static final double TOLERANCE = 0.03;
 
     @Test
     void moreRequestsOfManyHostsAreInTimeIfTheyTellWhatThereIsToRead() {
-        assertThat(inTime(89, JUMP, true) - inTime(89, JUMP, false)).isGreaterThan(CLEAR);
+        assertThat(inTime(89, SURGE_RATE, true) - inTime(89, SURGE_RATE, false))
+                .isGreaterThan(TOLERANCE);
     }
 
     @Test
     void fewHostsLoseNothingByIt() {
-        assertThat(inTime(6, JUMP, true) - inTime(6, JUMP, false)).isGreaterThan(-CLEAR);
+        assertThat(inTime(6, SURGE_RATE, true) - inTime(6, SURGE_RATE, false))
+                .isGreaterThan(-TOLERANCE);
     }
 
     @Test
     void nothingIsLostInCalm() {
-        assertThat(inTime(89, CALM, true) - inTime(89, CALM, false)).isGreaterThan(-CLEAR);
+        assertThat(inTime(89, LOW_RATE, true) - inTime(89, LOW_RATE, false))
+                .isGreaterThan(-TOLERANCE);
     }
 
     /**
@@ -40,9 +43,11 @@
     void whatCannotBeServedIsNotHeldToItsEnd() {
         double held = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            held += new ManyHostsReplay(seed, 16, OVERLOAD, true).play().heldMillis() / SEEDS;
+            held +=
+                    new ManyHostsReplay(seed, 16, OVERLOAD_RATE, true).play().refusedWaitMillis()
+                            / SEEDS;
         }
-        assertThat(held).isLessThan(ManyHostsReplay.PATIENCE / 2.0);
+        assertThat(held).isLessThan(ManyHostsReplay.DEADLINE / 2.0);
     }
 
     private static double inTime(int hosts, double perSecond, boolean told) {
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/PlainServiceReplay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/PlainServiceReplay.java
@@ -27,11 +27,11 @@
 
     private static final long LENGTH = 30_000;
     private static final long OBJECTIVE = 389;
-    private static final long WORK = 86;
-    private static final int QUEUED = 6;
-    private static final int CLUMP = 3;
-    private static final long TOLD_EVERY = 250;
-    private static final long LOOK = 25;
+    private static final long MEAN_SERVICE_TIME = 86;
+    private static final int QUEUE_CAPACITY = 6;
+    private static final int BATCH_SIZE = 3;
+    private static final long REPORT_INTERVAL = 250;
+    private static final long RECHECK_INTERVAL = 25;
 
     private final Random random;
     private final int hosts;
@@ -40,7 +40,7 @@
     private final Map<UpstreamId, Upstream> upstreams = new LinkedHashMap<>();
     private final PriorityQueue<Job> running;
     private final List<Job> waiting = new ArrayList<>();
-    private int asked;
+    private int arrived;
     private int inTime;
     private int rejected;
 
@@ -48,7 +48,7 @@
     private static final class Job {
         private final int host;
         private final long arrivedAt;
-        private Sending sending;
+        private InFlightRequest sending;
         private long endsAt;
 
         private Job(int host, long arrivedAt) {
@@ -85,7 +85,7 @@
         for (int number = 0; number < instances; number++) {
             Instance instance = instance("p" + number, 1, "m");
             upstreams.put(instance.id(), new Upstream(instance.slots()));
-            dispatchers.forEach(dispatcher -> dispatcher.changed(instance));
+            dispatchers.forEach(dispatcher -> dispatcher.updateInstance(instance));
         }
     }
 
@@ -97,25 +97,25 @@
     Outcome play() {
         for (long now = 1; now < LENGTH; now++) {
             end(now);
-            if (now % TOLD_EVERY == 0) {
-                tell(now);
+            if (now % REPORT_INTERVAL == 0) {
+                exchangeReports(now);
             }
-            if (random.nextDouble() < perSecond / CLUMP / 1000) {
+            if (random.nextDouble() < perSecond / BATCH_SIZE / 1000) {
                 int host = random.nextInt(hosts);
-                for (int one = 0; one < CLUMP; one++) {
+                for (int one = 0; one < BATCH_SIZE; one++) {
                     arrive(new Job(host, now), now);
                 }
             }
-            if (now % LOOK == 0) {
+            if (now % RECHECK_INTERVAL == 0) {
                 long at = now;
                 waiting.removeIf(job -> send(job, at));
             }
         }
-        return new Outcome((double) inTime / asked, (double) rejected / asked);
+        return new Outcome((double) inTime / arrived, (double) rejected / arrived);
     }
 
     private void arrive(Job job, long now) {
-        asked++;
+        arrived++;
         if (!send(job, now)) {
             waiting.add(job);
         }
@@ -129,12 +129,12 @@
         }
         UpstreamId id = send.instance().id();
         Upstream upstream = upstreams.get(id);
-        if (upstream.busy >= upstream.slots && upstream.queue.size() >= QUEUED) {
+        if (upstream.busy >= upstream.slots && upstream.queue.size() >= QUEUE_CAPACITY) {
             rejected++;
-            dispatcher.told(id, upstream.busy + upstream.queue.size(), nanos(now));
+            dispatcher.updateReportedLoad(id, upstream.busy + upstream.queue.size(), nanos(now));
             return true;
         }
-        job.sending = dispatcher.began(id, need(), nanos(now));
+        job.sending = dispatcher.requestSent(id, need(), nanos(now));
         if (upstream.busy < upstream.slots) {
             run(upstream, job, now);
         } else {
@@ -145,7 +145,11 @@
 
     private void run(Upstream upstream, Job job, long now) {
         upstream.busy++;
-        job.endsAt = now + Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * WORK));
+        job.endsAt =
+                now
+                        + Math.max(
+                                1,
+                                Math.round(-Math.log(1 - random.nextDouble()) * MEAN_SERVICE_TIME));
         running.add(job);
     }
 
@@ -159,14 +163,14 @@
                 run(upstream, upstream.queue.removeFirst(), now);
             }
             Dispatcher dispatcher = dispatchers.get(job.host);
-            dispatcher.answered(job.sending, nanos(now));
-            dispatcher.ended(job.sending, nanos(now));
-            dispatcher.told(id, upstream.busy + upstream.queue.size(), nanos(now));
+            dispatcher.responseStarted(job.sending, nanos(now));
+            dispatcher.requestEnded(job.sending, nanos(now));
+            dispatcher.updateReportedLoad(id, upstream.busy + upstream.queue.size(), nanos(now));
             inTime += now - job.arrivedAt <= OBJECTIVE ? 1 : 0;
         }
     }
 
-    private void tell(long now) {
+    private void exchangeReports(long now) {
         Map<UpstreamId, Integer> all = new HashMap<>();
         List<Map<UpstreamId, Integer>> own = new ArrayList<>();
         for (Dispatcher dispatcher : dispatchers) {
@@ -178,7 +182,7 @@
         for (int host = 0; host < hosts; host++) {
             Map<UpstreamId, Integer> others = new HashMap<>(all);
             own.get(host).forEach((id, count) -> others.merge(id, -count, Integer::sum));
-            dispatchers.get(host).othersTold(others, nanos(now));
+            dispatchers.get(host).updateRemoteRequests(others, nanos(now));
         }
     }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/PlainServiceReplayTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/PlainServiceReplayTest.java
@@ -13,28 +13,28 @@
 
     private static final int SEEDS = 20;
     private static final int INSTANCES = 3;
-    private static final double WORK_SECONDS = 0.086;
+    private static final double SERVICE_TIME_SECONDS = 0.086;
 
     /** A share of the requests that counts as a loss. */
-    private static final double CLEAR = 0.03;
+    private static final double TOLERANCE = 0.03;
 
     @Test
     void manyHostsLoseNothingAtTwoThirdsLoad() {
-        assertThat(inTime(6, 0.66) - inTime(89, 0.66)).isLessThan(CLEAR);
+        assertThat(inTime(6, 0.66) - inTime(89, 0.66)).isLessThan(TOLERANCE);
     }
 
     @Test
     void manyHostsLoseNothingAtTheCrestOfAWave() {
-        assertThat(inTime(6, 0.84) - inTime(89, 0.84)).isLessThan(CLEAR);
+        assertThat(inTime(6, 0.84) - inTime(89, 0.84)).isLessThan(TOLERANCE);
     }
 
     @Test
     void manyHostsLoseNothingNearlyFull() {
-        assertThat(inTime(6, 0.95) - inTime(89, 0.95)).isLessThan(CLEAR);
+        assertThat(inTime(6, 0.95) - inTime(89, 0.95)).isLessThan(TOLERANCE);
     }
 
     private static double inTime(int hosts, double load) {
-        double perSecond = load * INSTANCES * PlainServiceReplay.slots() / WORK_SECONDS;
+        double perSecond = load * INSTANCES * PlainServiceReplay.slots() / SERVICE_TIME_SECONDS;
         double sum = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             sum += new PlainServiceReplay(seed, hosts, perSecond, INSTANCES).play().inTime();
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/PromptWindowTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/PromptWindowTest.java
@@ -42,7 +42,7 @@
     @Test
     void shorterObjectiveClosesItSooner() {
         for (int i = 0; i < 3; i++) {
-            window.answeredAfter(Duration.ofMillis(360).toNanos(), Duration.ofMillis(400));
+            window.recordFirstEvent(Duration.ofMillis(360).toNanos(), Duration.ofMillis(400));
         }
         assertThat(admits(1)).isFalse();
     }
@@ -65,9 +65,9 @@
     @Test
     void placesComeAsFastAsPromptsAreRead() {
         answer(500, 200);
-        assertThat(window.placesPerSecond()).isBetween(5.9, 6.1);
+        assertThat(window.promptsPerSecond()).isBetween(5.9, 6.1);
         answer(1000, 200);
-        assertThat(window.placesPerSecond()).isBetween(0.12, 0.13);
+        assertThat(window.promptsPerSecond()).isBetween(0.12, 0.13);
     }
 
     private boolean admits(int unanswered) {
@@ -76,7 +76,7 @@
 
     private void answer(long millis, int times) {
         for (int i = 0; i < times; i++) {
-            window.answeredAfter(Duration.ofMillis(millis).toNanos(), OBJECTIVE);
+            window.recordFirstEvent(Duration.ofMillis(millis).toNanos(), OBJECTIVE);
         }
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/ReportSumTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/ReportAggregatorTest.java
@@ -13,45 +13,45 @@
 import org.junit.jupiter.api.Test;
 
 /** Reports of many hosts, passed on as one. */
-class ReportSumTest {
+class ReportAggregatorTest {
 
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
     private static final UpstreamId ENGINE = new UpstreamId("e");
 
-    private final ReportSum sum = new ReportSum();
+    private final ReportAggregator sum = new ReportAggregator();
 
     @Test
     void latestCountOfEachHostStands() {
-        sum.worked(new HostId("a"), Map.of(ENGINE, new InstanceWork(3, 0, 0)), 0);
-        sum.worked(new HostId("a"), Map.of(ENGINE, new InstanceWork(2, 0, 0)), 1);
-        sum.worked(new HostId("b"), Map.of(ENGINE, new InstanceWork(5, 0, 0)), 1);
+        sum.addWork(new HostId("a"), Map.of(ENGINE, new InstanceWork(3, 0, 0)), 0);
+        sum.addWork(new HostId("a"), Map.of(ENGINE, new InstanceWork(2, 0, 0)), 1);
+        sum.addWork(new HostId("b"), Map.of(ENGINE, new InstanceWork(5, 0, 0)), 1);
         assertThat(sum.takeWork(2)).containsEntry(ENGINE, new InstanceWork(7, 0, 0));
         assertThat(sum.takeWork(3)).containsEntry(ENGINE, new InstanceWork(7, 0, 0));
     }
 
     @Test
     void hostThatIsSilentNoLongerCounts() {
-        sum.worked(new HostId("a"), Map.of(ENGINE, new InstanceWork(3, 0, 0)), 0);
-        sum.asked(new HostId("a"), Map.of("m", new ReportSum.Asked(1, 4)), 0);
-        sum.takeAsked(0);
+        sum.addWork(new HostId("a"), Map.of(ENGINE, new InstanceWork(3, 0, 0)), 0);
+        sum.addDemand(new HostId("a"), Map.of("m", new ReportAggregator.Demand(1, 4)), 0);
+        sum.takeDemand(0);
         assertThat(sum.takeWork(2 * SECOND)).isEmpty();
-        assertThat(sum.takeAsked(2 * SECOND)).isEmpty();
+        assertThat(sum.takeDemand(2 * SECOND)).isEmpty();
     }
 
     @Test
     void whatWaitsIsToldUntilItWaitsNoMore() {
         HostId host = new HostId("a");
-        sum.asked(host, Map.of("m", new ReportSum.Asked(2, 4)), 0);
-        assertThat(sum.takeAsked(1)).containsEntry("m", new ReportSum.Asked(2, 4));
-        assertThat(sum.takeAsked(2)).containsEntry("m", new ReportSum.Asked(0, 4));
-        sum.asked(host, Map.of(), 3);
-        assertThat(sum.takeAsked(4)).isEmpty();
+        sum.addDemand(host, Map.of("m", new ReportAggregator.Demand(2, 4)), 0);
+        assertThat(sum.takeDemand(1)).containsEntry("m", new ReportAggregator.Demand(2, 4));
+        assertThat(sum.takeDemand(2)).containsEntry("m", new ReportAggregator.Demand(0, 4));
+        sum.addDemand(host, Map.of(), 3);
+        assertThat(sum.takeDemand(4)).isEmpty();
     }
 
     @Property(tries = 200)
     void everyArrivalAndAnswerIsPassedOnOnce(@ForAll long seed) {
         Random random = new Random(seed);
-        ReportSum relay = new ReportSum();
+        ReportAggregator relay = new ReportAggregator();
         int arrived = 0;
         int answered = 0;
         int toldArrived = 0;
@@ -62,12 +62,16 @@
             int answers = random.nextInt(5);
             arrived += arrivals;
             answered += answers;
-            relay.asked(host, Map.of("m", new ReportSum.Asked(arrivals, random.nextInt(3))), step);
-            relay.worked(
+            relay.addDemand(
+                    host,
+                    Map.of("m", new ReportAggregator.Demand(arrivals, random.nextInt(3))),
+                    step);
+            relay.addWork(
                     host, Map.of(ENGINE, new InstanceWork(random.nextInt(3), answers, 0)), step);
             if (random.nextInt(3) == 0 || step == 29) {
-                Map<String, ReportSum.Asked> asked = new HashMap<>(relay.takeAsked(step));
-                toldArrived += asked.getOrDefault("m", new ReportSum.Asked(0, 0)).arrivals();
+                Map<String, ReportAggregator.Demand> asked = new HashMap<>(relay.takeDemand(step));
+                toldArrived +=
+                        asked.getOrDefault("m", new ReportAggregator.Demand(0, 0)).arrivals();
                 Map<UpstreamId, InstanceWork> work = relay.takeWork(step);
                 toldAnswered += work.getOrDefault(ENGINE, new InstanceWork(0, 0, 0)).answered();
             }
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/ReportPaceTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/ReportTimingTest.java
@@ -13,39 +13,39 @@
 import org.junit.jupiter.api.Test;
 
 /** Reports of many hosts stay within what a control host can take, and are believed until then. */
-class ReportPaceTest {
+class ReportTimingTest {
 
     private static final long MILLIS_PER_SECOND = 1000;
-    private static final long MOST_A_SECOND = 200;
+    private static final long MAX_PER_SECOND = 200;
 
     @Test
     void fewHostsTellSevenTimesASecond() {
-        assertThat(new ReportPace(0).interval()).hasMillis(150);
-        assertThat(new ReportPace(30).interval()).hasMillis(150);
-        assertThat(new ReportPace(6).lifetime()).hasSeconds(1);
+        assertThat(new ReportTiming(0).interval()).hasMillis(150);
+        assertThat(new ReportTiming(30).interval()).hasMillis(150);
+        assertThat(new ReportTiming(6).lifetime()).hasSeconds(1);
     }
 
     @Property
     void noControlHostTakesMoreThanItCan(@ForAll @IntRange(min = 1, max = 1000) int hosts) {
-        long millis = new ReportPace(hosts).interval().toMillis();
-        assertThat(hosts * MILLIS_PER_SECOND).isLessThanOrEqualTo(MOST_A_SECOND * millis);
+        long millis = new ReportTiming(hosts).interval().toMillis();
+        assertThat(hosts * MILLIS_PER_SECOND).isLessThanOrEqualTo(MAX_PER_SECOND * millis);
     }
 
     @Property
     void oneLostReportDoesNotSilenceAHost(@ForAll @IntRange(min = 1, max = 1000) int hosts) {
-        ReportPace pace = new ReportPace(hosts);
+        ReportTiming pace = new ReportTiming(hosts);
         WorkReports works = new WorkReports();
-        works.shared(hosts);
+        works.setHostCount(hosts);
         HostId teller = new HostId("teller");
         UpstreamId engine = new UpstreamId("engine");
-        works.reported(teller, Map.of(engine, 3), 0);
+        works.put(teller, Map.of(engine, 3), 0);
         long afterOneLost = pace.interval().multipliedBy(2).toNanos();
-        assertThat(works.most(afterOneLost)).containsEntry(engine, 3);
-        assertThat(works.most(pace.lifetime().plus(Duration.ofMillis(1)).toNanos())).isEmpty();
+        assertThat(works.max(afterOneLost)).containsEntry(engine, 3);
+        assertThat(works.max(pace.lifetime().plus(Duration.ofMillis(1)).toNanos())).isEmpty();
     }
 
     @Test
     void numberOfHostsIsChecked() {
-        assertThatThrownBy(() -> new ReportPace(-1)).hasMessageContaining("-1");
+        assertThatThrownBy(() -> new ReportTiming(-1)).hasMessageContaining("-1");
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/RestReplay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/RestReplay.java
@@ -28,22 +28,22 @@
 final class RestReplay {
 
     private static final long LENGTH = 30_000;
-    private static final long NEED_FROM = 5_000;
-    private static final long NEED_UNTIL = 15_000;
+    private static final long OVERLOAD_FROM = 5_000;
+    private static final long OVERLOAD_UNTIL = 15_000;
     private static final long OBJECTIVE = 389;
     private static final long DEADLINE = 4_000;
-    private static final long WORK = 86;
-    private static final int QUEUED = 6;
-    private static final long TOLD_EVERY = 250;
-    private static final long LOOK = 25;
-    private static final long REFUSAL = 1;
+    private static final long MEAN_SERVICE_TIME = 86;
+    private static final int QUEUE_CAPACITY = 6;
+    private static final long REPORT_INTERVAL = 250;
+    private static final long RECHECK_INTERVAL = 25;
+    private static final long REJECTION_TIME = 1;
 
     /** How instances in need answer. */
     enum Answer {
         /** They ask for rest. */
         REST,
         /** They refuse, and say nothing of it. */
-        REFUSAL,
+        REJECT,
         /** They fail each request at once. */
         ERROR
     }
@@ -53,25 +53,26 @@
      *
      * @param load share of the places that callers ask for
      */
-    record Plan(int hosts, int instances, int inNeed, double load, Answer answer, Duration rest) {}
+    record Plan(
+            int hosts, int instances, int overloaded, double load, Answer answer, Duration rest) {}
 
     /**
      * What became of it.
      *
      * @param inTime share of the callers that were served within the objective
      * @param served share of those that were served at all
-     * @param inNeed the same as inTime, of callers that came while there was need
-     * @param turnedAway requests that instances in need have turned away or failed
-     * @param mostInARest the most requests of one host that came in one of its rests
-     * @param usedAgainAfter seconds from the end of the need until those in need had their share
+     * @param inTimeInOverload the same as inTime, of callers that came while there was need
+     * @param rejected requests that instances in need have turned away or failed
+     * @param maxInRest the most requests of one host that came in one of its rests
+     * @param recoverySeconds seconds from the end of the need until those in need had their share
      */
     record Outcome(
             double inTime,
             double served,
-            double inNeed,
-            int turnedAway,
-            int mostInARest,
-            double usedAgainAfter) {}
+            double inTimeInOverload,
+            int rejected,
+            int maxInRest,
+            double recoverySeconds) {}
 
     private final Plan plan;
     private final Random random;
@@ -82,13 +83,13 @@
                     Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
     private final List<Job> waiting = new ArrayList<>();
     private long order;
-    private int asked;
+    private int arrived;
     private int inTime;
     private int served;
-    private int askedInNeed;
-    private int inTimeInNeed;
-    private int turnedAway;
-    private int mostInARest;
+    private int arrivedInOverload;
+    private int inTimeInOverload;
+    private int rejected;
+    private int maxInRest;
     private final Map<Long, int[]> shares = new TreeMap<>();
 
     private record Event(long at, long order, Runnable what) {}
@@ -96,18 +97,18 @@
     /** One request of a caller, and the one it comes again with. */
     private static final class Job {
         private final int host;
-        private final long cameAt;
+        private final long firstArrivedAt;
         private final long arrivedAt;
-        private final boolean again;
+        private final boolean retry;
         private Admission admission;
         private final Set<UpstreamId> givenUp = new HashSet<>();
-        private Sending sending;
+        private InFlightRequest sending;
 
         private Job(int host, long cameAt, long arrivedAt, boolean again) {
             this.host = host;
-            this.cameAt = cameAt;
+            this.firstArrivedAt = cameAt;
             this.arrivedAt = arrivedAt;
-            this.again = again;
+            this.retry = again;
             this.admission = admission();
         }
 
@@ -119,14 +120,14 @@
     /** One instance: so many run, a few more wait. */
     private static final class Upstream {
         private final int slots;
-        private final boolean needy;
+        private final boolean overloaded;
         private int busy;
         private final Deque<Job> queue = new ArrayDeque<>();
         private final Map<Integer, long[]> rests = new HashMap<>();
 
         private Upstream(int slots, boolean needy) {
             this.slots = slots;
-            this.needy = needy;
+            this.overloaded = needy;
         }
     }
 
@@ -138,54 +139,58 @@
         }
         for (int number = 0; number < plan.instances(); number++) {
             Instance instance = instance("p" + number, 1, "m");
-            upstreams.put(instance.id(), new Upstream(instance.slots(), number < plan.inNeed()));
-            dispatchers.forEach(dispatcher -> dispatcher.changed(instance));
+            upstreams.put(
+                    instance.id(), new Upstream(instance.slots(), number < plan.overloaded()));
+            dispatchers.forEach(dispatcher -> dispatcher.updateInstance(instance));
         }
     }
 
     Outcome play() {
         double perMilli =
-                plan.load() * plan.instances() * instance("p", 1, "m").slots() / (double) WORK;
+                plan.load()
+                        * plan.instances()
+                        * instance("p", 1, "m").slots()
+                        / (double) MEAN_SERVICE_TIME;
         for (long at = 1; at < LENGTH; at++) {
             while (!events.isEmpty() && events.peek().at() <= at) {
                 events.poll().what().run();
             }
-            if (at % TOLD_EVERY == 0) {
-                tell(at);
+            if (at % REPORT_INTERVAL == 0) {
+                exchangeReports(at);
             }
             for (int due = 0; due < 1 + (int) perMilli; due++) {
                 if (random.nextDouble() < perMilli - due) {
                     arrive(new Job(random.nextInt(plan.hosts()), at, at, false), at);
                 }
             }
-            if (at % LOOK == 0) {
+            if (at % RECHECK_INTERVAL == 0) {
                 long now = at;
-                waiting.removeIf(job -> isOver(job, now));
+                waiting.removeIf(job -> isSettled(job, now));
             }
         }
         return new Outcome(
-                (double) inTime / asked,
-                (double) served / asked,
-                (double) inTimeInNeed / askedInNeed,
-                turnedAway,
-                mostInARest,
-                usedAgain());
+                (double) inTime / arrived,
+                (double) served / arrived,
+                (double) inTimeInOverload / arrivedInOverload,
+                rejected,
+                maxInRest,
+                recoverySeconds());
     }
 
-    private double usedAgain() {
-        double fair = (double) plan.inNeed() / plan.instances();
+    private double recoverySeconds() {
+        double fair = (double) plan.overloaded() / plan.instances();
         for (Map.Entry<Long, int[]> second : shares.entrySet()) {
             int[] counts = second.getValue();
-            boolean after = second.getKey() * 250 >= NEED_UNTIL;
+            boolean after = second.getKey() * 250 >= OVERLOAD_UNTIL;
             if (after && counts[1] >= 0.8 * fair * counts[0]) {
-                return (second.getKey() * 250 - NEED_UNTIL) / 1000.0;
+                return (second.getKey() * 250 - OVERLOAD_UNTIL) / 1000.0;
             }
         }
         return Double.NaN;
     }
 
-    private static boolean needTime(long at) {
-        return at >= NEED_FROM && at < NEED_UNTIL;
+    private static boolean isOverloadTime(long at) {
+        return at >= OVERLOAD_FROM && at < OVERLOAD_UNTIL;
     }
 
     private void at(long moment, Runnable what) {
@@ -193,55 +198,55 @@
     }
 
     private void arrive(Job job, long now) {
-        if (!job.again) {
-            asked++;
-            askedInNeed += needTime(job.cameAt) ? 1 : 0;
+        if (!job.retry) {
+            arrived++;
+            arrivedInOverload += isOverloadTime(job.firstArrivedAt) ? 1 : 0;
         }
-        if (!isOver(job, now)) {
+        if (!isSettled(job, now)) {
             waiting.add(job);
         }
     }
 
-    private boolean isOver(Job job, long now) {
+    private boolean isSettled(Job job, long now) {
         Dispatcher dispatcher = dispatchers.get(job.host);
         Duration left = Duration.ofMillis(Math.max(0, job.arrivedAt + OBJECTIVE - now));
         Choice choice =
                 dispatcher.choose(need(), id -> !job.givenUp.contains(id), left, nanos(now));
-        return switch (job.admission.judge(choice, 0, nanos(now))) {
+        return switch (job.admission.decide(choice, 0, nanos(now))) {
             case Admission.Verdict.Send(Instance instance, String why) -> {
                 send(job, instance.id(), now);
                 yield true;
             }
             case Admission.Verdict.GiveUp(String reason, Duration after) -> {
-                turnBack(job, dispatcher.turnedBack(choice, after, nanos(now)), now);
+                refuseCaller(job, dispatcher.retryAfter(choice, after, nanos(now)), now);
                 yield true;
             }
             default -> false;
         };
     }
 
-    private void turnBack(Job job, Duration after, long now) {
+    private void refuseCaller(Job job, Duration after, long now) {
         long back = now + Math.max(1, after.toMillis());
-        if (!job.again && back < LENGTH) {
-            at(back, () -> arrive(new Job(job.host, job.cameAt, back, true), back));
+        if (!job.retry && back < LENGTH) {
+            at(back, () -> arrive(new Job(job.host, job.firstArrivedAt, back, true), back));
         }
     }
 
     private void send(Job job, UpstreamId id, long now) {
         Upstream upstream = upstreams.get(id);
-        job.sending = dispatchers.get(job.host).began(id, need(), nanos(now));
+        job.sending = dispatchers.get(job.host).requestSent(id, need(), nanos(now));
         count(upstream, now);
         long[] rest = upstream.rests.get(job.host);
         if (rest != null && now >= rest[0] + 500 && now < rest[1]) {
             rest[2]++;
-            mostInARest = (int) Math.max(mostInARest, rest[2]);
+            maxInRest = (int) Math.max(maxInRest, rest[2]);
         }
-        boolean full = upstream.busy >= upstream.slots && upstream.queue.size() >= QUEUED;
-        if (upstream.needy && needTime(now)) {
-            turnedAway++;
-            at(now + REFUSAL, () -> fail(job, id, now + REFUSAL));
+        boolean full = upstream.busy >= upstream.slots && upstream.queue.size() >= QUEUE_CAPACITY;
+        if (upstream.overloaded && isOverloadTime(now)) {
+            rejected++;
+            at(now + REJECTION_TIME, () -> answerOverloaded(job, id, now + REJECTION_TIME));
         } else if (full) {
-            at(now + REFUSAL, () -> refuse(job, id, Optional.empty(), now + REFUSAL));
+            at(now + REJECTION_TIME, () -> reject(job, id, Optional.empty(), now + REJECTION_TIME));
         } else if (upstream.busy < upstream.slots) {
             run(upstream, job, now);
         } else {
@@ -252,15 +257,15 @@
     private void count(Upstream upstream, long now) {
         int[] counts = shares.computeIfAbsent(now / 250, key -> new int[2]);
         counts[0]++;
-        counts[1] += upstream.needy ? 1 : 0;
+        counts[1] += upstream.overloaded ? 1 : 0;
     }
 
-    private void fail(Job job, UpstreamId id, long now) {
+    private void answerOverloaded(Job job, UpstreamId id, long now) {
         if (plan.answer() == Answer.ERROR) {
             Dispatcher dispatcher = dispatchers.get(job.host);
-            dispatcher.answeredInFailure(job.sending, true);
-            dispatcher.ended(job.sending, nanos(now));
-            dispatcher.erred(id);
+            dispatcher.errorResponseStarted(job.sending, true);
+            dispatcher.requestEnded(job.sending, nanos(now));
+            dispatcher.requestFailed(id);
             return;
         }
         boolean rests = plan.answer() == Answer.REST;
@@ -275,27 +280,31 @@
                             (known, next) ->
                                     now < known[1] ? new long[] {known[0], end, known[2]} : next);
         }
-        refuse(job, id, rests ? Optional.of(plan.rest()) : Optional.empty(), now);
+        reject(job, id, rests ? Optional.of(plan.rest()) : Optional.empty(), now);
     }
 
-    private void refuse(Job job, UpstreamId id, Optional<Duration> rest, long now) {
+    private void reject(Job job, UpstreamId id, Optional<Duration> rest, long now) {
         Dispatcher dispatcher = dispatchers.get(job.host);
-        dispatcher.answeredInFailure(job.sending, false);
-        rest.ifPresent(time -> dispatcher.wantsRest(id, time, nanos(now)));
-        dispatcher.ended(job.sending, nanos(now));
+        dispatcher.errorResponseStarted(job.sending, false);
+        rest.ifPresent(time -> dispatcher.restRequested(id, time, nanos(now)));
+        dispatcher.requestEnded(job.sending, nanos(now));
         if (rest.isEmpty()) {
-            dispatcher.turnedAway(id, need(), nanos(now));
+            dispatcher.requestRejected(id, need(), nanos(now));
             job.givenUp.add(id);
         }
         job.admission = job.admission();
-        if (!isOver(job, now)) {
+        if (!isSettled(job, now)) {
             waiting.add(job);
         }
     }
 
     private void run(Upstream upstream, Job job, long now) {
         upstream.busy++;
-        long end = now + Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * WORK));
+        long end =
+                now
+                        + Math.max(
+                                1,
+                                Math.round(-Math.log(1 - random.nextDouble()) * MEAN_SERVICE_TIME));
         at(end, () -> end(upstream, job, end));
     }
 
@@ -306,17 +315,17 @@
         }
         Dispatcher dispatcher = dispatchers.get(job.host);
         UpstreamId id = job.sending.instance();
-        dispatcher.answered(job.sending, nanos(now));
-        dispatcher.ended(job.sending, nanos(now));
-        dispatcher.succeeded(id);
-        dispatcher.told(id, upstream.busy + upstream.queue.size(), nanos(now));
+        dispatcher.responseStarted(job.sending, nanos(now));
+        dispatcher.requestEnded(job.sending, nanos(now));
+        dispatcher.requestSucceeded(id);
+        dispatcher.updateReportedLoad(id, upstream.busy + upstream.queue.size(), nanos(now));
         served++;
-        boolean good = now - job.cameAt <= OBJECTIVE;
+        boolean good = now - job.firstArrivedAt <= OBJECTIVE;
         inTime += good ? 1 : 0;
-        inTimeInNeed += good && needTime(job.cameAt) ? 1 : 0;
+        inTimeInOverload += good && isOverloadTime(job.firstArrivedAt) ? 1 : 0;
     }
 
-    private void tell(long now) {
+    private void exchangeReports(long now) {
         Map<UpstreamId, Integer> all = new HashMap<>();
         List<Map<UpstreamId, Integer>> own = new ArrayList<>();
         for (Dispatcher dispatcher : dispatchers) {
@@ -328,7 +337,7 @@
         for (int host = 0; host < plan.hosts(); host++) {
             Map<UpstreamId, Integer> others = new HashMap<>(all);
             own.get(host).forEach((id, count) -> others.merge(id, -count, Integer::sum));
-            dispatchers.get(host).othersTold(others, nanos(now));
+            dispatchers.get(host).updateRemoteRequests(others, nanos(now));
         }
     }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/RestingDispatchTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/RestingDispatchTest.java
@@ -46,14 +46,14 @@
                         Duration.ofMillis(800));
         EngineSpec spec =
                 new EngineSpec(4, 1000, 300, 2, 1, 200, 600, EngineSpec.byName(List.of(weights)));
-        dispatcher.engines(Map.of(SERVICE, spec));
-        dispatcher.changed(instance("a", 1, "m"));
-        dispatcher.wantsRest(RESTING, REST, NOW);
+        dispatcher.setEngines(Map.of(SERVICE, spec));
+        dispatcher.updateInstance(instance("a", 1, "m"));
+        dispatcher.restRequested(RESTING, REST, NOW);
     }
 
     @Test
     void requestGoesToAnotherInstanceAtOnce() {
-        dispatcher.changed(instance("bb", 1, "m"));
+        dispatcher.updateInstance(instance("bb", 1, "m"));
         assertThat(choice())
                 .isInstanceOfSatisfying(
                         Choice.Send.class,
@@ -63,54 +63,54 @@
     @Test
     void requestWaitsForARestThatEndsInTime() {
         long end = NOW + Duration.ofSeconds(10).toNanos();
-        assertThat(new Admission(end, end).judge(choice(), 0, NOW))
+        assertThat(new Admission(end, end).decide(choice(), 0, NOW))
                 .isEqualTo(new Admission.Verdict.Wait(WaitReason.REST));
     }
 
     @Test
     void requestThatTheRestOutlastsIsRefusedAtOnceAndToldOfItsEnd() {
         Choice choice = choice();
-        Admission.Verdict verdict = patient(Duration.ofSeconds(1)).judge(choice, 0, NOW);
+        Admission.Verdict verdict = patient(Duration.ofSeconds(1)).decide(choice, 0, NOW);
         assertThat(verdict).isInstanceOf(Admission.Verdict.GiveUp.class);
         Duration after = ((Admission.Verdict.GiveUp) verdict).retryAfter();
-        Duration first = dispatcher.turnedBack(choice, after, NOW);
+        Duration first = dispatcher.retryAfter(choice, after, NOW);
         assertThat(first).isBetween(REST, REST.plus(REST.dividedBy(4)));
-        assertThat(dispatcher.turnedBack(choice, after, NOW)).isGreaterThan(first);
+        assertThat(dispatcher.retryAfter(choice, after, NOW)).isGreaterThan(first);
     }
 
     @Test
     void requestWaitsForACopyElsewhereThatComesBeforeTheRestEnds() {
-        dispatcher.changed(instance("bb", 1, "other"));
-        dispatcher.coming(new UpstreamId("bb"), MODEL, Duration.ofMillis(500), NOW);
-        assertThat(patient(Duration.ofSeconds(1)).judge(choice(), 0, NOW))
+        dispatcher.updateInstance(instance("bb", 1, "other"));
+        dispatcher.loadStarted(new UpstreamId("bb"), MODEL, Duration.ofMillis(500), NOW);
+        assertThat(patient(Duration.ofSeconds(1)).decide(choice(), 0, NOW))
                 .isEqualTo(new Admission.Verdict.Wait(WaitReason.MODEL_LOADING));
     }
 
     @Test
     void callerIsToldOfACopyElsewhereThatComesBeforeTheRestEnds() {
-        dispatcher.changed(instance("bb", 1, "other"));
-        dispatcher.coming(new UpstreamId("bb"), MODEL, Duration.ofSeconds(2), NOW);
+        dispatcher.updateInstance(instance("bb", 1, "other"));
+        dispatcher.loadStarted(new UpstreamId("bb"), MODEL, Duration.ofSeconds(2), NOW);
         Choice choice = choice();
         Admission hurried = new Admission(NOW + Duration.ofSeconds(1).toNanos());
-        Admission.Verdict verdict = hurried.judge(choice, 0, NOW);
+        Admission.Verdict verdict = hurried.decide(choice, 0, NOW);
         Duration after = ((Admission.Verdict.GiveUp) verdict).retryAfter();
-        assertThat(dispatcher.turnedBack(choice, after, NOW)).isLessThan(REST);
+        assertThat(dispatcher.retryAfter(choice, after, NOW)).isLessThan(REST);
     }
 
     @Test
     void requestWaitsForItsTurnAtAColdInstanceWhileTheOtherRests() {
-        dispatcher.coldPerSecond(Map.of(SERVICE, 0.5));
-        dispatcher.shared(50);
-        dispatcher.changed(cold("cc", Duration.ofSeconds(20)));
+        dispatcher.setColdRequestsPerSecond(Map.of(SERVICE, 0.5));
+        dispatcher.setHostCount(50);
+        dispatcher.updateInstance(cold("cc", Duration.ofSeconds(20)));
         Need plain = new Need(SERVICE, Optional.empty(), Optional.empty(), List.of(), 0, 0, 1);
         Choice choice = dispatcher.choose(plain, id -> true, false, NOW);
-        assertThat(patient(Duration.ofSeconds(1)).judge(choice, 0, NOW))
+        assertThat(patient(Duration.ofSeconds(1)).decide(choice, 0, NOW))
                 .isEqualTo(new Admission.Verdict.Wait(WaitReason.FULL));
     }
 
     @Test
     void suspectIsNotSentIntoARestEither() {
-        ApartDispatcher apart = new ApartDispatcher(dispatcher, new Trials());
+        SuspectDispatcher apart = new SuspectDispatcher(dispatcher, new Trials());
         RequestDigest digest = RequestDigest.of("GET", "a.example", "/x", new byte[0]);
         assertThat(apart.choose(digest, NEED, id -> true, false, NOW))
                 .isInstanceOf(Choice.Resting.class);
@@ -118,27 +118,27 @@
 
     @Test
     void requestThatWasChosenBeforeTheRestIsNotWritten() {
-        dispatcher.changed(instance("bb", 1, "m"));
+        dispatcher.updateInstance(instance("bb", 1, "m"));
         UpstreamId other = new UpstreamId("bb");
         assertThat(dispatcher.mayWrite(other, NOW)).isTrue();
-        dispatcher.wantsRest(other, REST, NOW);
+        dispatcher.restRequested(other, REST, NOW);
         assertThat(dispatcher.mayWrite(other, NOW)).isFalse();
     }
 
     @Test
     void requestThatWasChosenBeforeTheInstanceLeavesIsNotWritten() {
-        dispatcher.changed(instance("bb", 1, "m").withState(InstanceState.DRAINING));
+        dispatcher.updateInstance(instance("bb", 1, "m").withState(InstanceState.DRAINING));
         assertThat(dispatcher.mayWrite(new UpstreamId("bb"), NOW)).isFalse();
     }
 
     @Test
     void refusalTeachesNothingOfHowFastAnInstanceIs() {
-        dispatcher.changed(instance("bb", 1, "m"));
+        dispatcher.updateInstance(instance("bb", 1, "m"));
         UpstreamId other = new UpstreamId("bb");
         for (int count = 0; count < 20; count++) {
-            Sending sending = dispatcher.began(other, NEED, NOW);
-            dispatcher.answeredInFailure(sending, false);
-            dispatcher.ended(sending, NOW + Duration.ofMillis(1).toNanos());
+            InFlightRequest sending = dispatcher.requestSent(other, NEED, NOW);
+            dispatcher.errorResponseStarted(sending, false);
+            dispatcher.requestEnded(sending, NOW + Duration.ofMillis(1).toNanos());
         }
         assertThat(dispatcher.takeWork()).doesNotContainKey(other);
         assertThat(dispatcher.occupancy(other, NOW)).isZero();
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/RetryAllowanceTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/RetryLimiterTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** How many resends one host allows itself for each service. */
-class RetryAllowanceTest {
+class RetryLimiterTest {
 
     private static final ServiceName BUSY = new ServiceName("busy");
     private static final ServiceName SMALL = new ServiceName("small");
@@ -15,16 +15,16 @@
     private static final double SLACK = 20;
     private static final int HOSTS = 4;
 
-    private final RetryAllowance allowance =
-            new RetryAllowance(RATIO, SLACK, HOSTS, Duration.ofSeconds(10));
+    private final RetryLimiter allowance =
+            new RetryLimiter(RATIO, SLACK, HOSTS, Duration.ofSeconds(10));
 
     @Test
     void smallServiceInNeedGetsNoResendsThatABusyOneLeavesUnused() {
         for (int count = 0; count < 1000; count++) {
-            allowance.requested(BUSY, 0);
+            allowance.recordRequest(BUSY, 0);
         }
         for (int count = 0; count < 20; count++) {
-            allowance.requested(SMALL, 0);
+            allowance.recordRequest(SMALL, 0);
         }
         assertThat(taken(SMALL)).isLessThanOrEqualTo((int) (RATIO * 20 + SLACK / HOSTS));
         assertThat(taken(BUSY)).isGreaterThan(100);
@@ -32,14 +32,14 @@
 
     @Test
     void figureIsThatOfTheServiceWithTheFewestLeft() {
-        allowance.requested(BUSY, 0);
+        allowance.recordRequest(BUSY, 0);
         taken(SMALL);
-        assertThat(allowance.left()).isLessThan(1);
+        assertThat(allowance.remaining()).isLessThan(1);
     }
 
     private int taken(ServiceName service) {
         int taken = 0;
-        while (allowance.take(service, 0)) {
+        while (allowance.tryTake(service, 0)) {
             taken++;
         }
         return taken;
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/ApartDispatcherTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/SuspectDispatcherTest.java
@@ -20,14 +20,14 @@
  * Where requests go that may have ended an instance. A dozen that shared an instance come again at
  * once, at several hosts; if they met again, nobody could tell which of them ended the next one.
  */
-class ApartDispatcherTest {
+class SuspectDispatcherTest {
 
     private static final long NOW = Duration.ofSeconds(100).toNanos();
     private static final Need NEED =
             new Need(SERVICE, Optional.empty(), Optional.empty(), List.of(), 0, 0, 1);
 
     private final Trials trials = new Trials();
-    private final ApartDispatcher host = host(trials, 1);
+    private final SuspectDispatcher host = host(trials, 1);
 
     @Test
     void copiesOfOneSuspectMeetAtOneInstanceFromAnyHost() {
@@ -72,21 +72,21 @@
         assertThat(sentTo(host, suspect)).isEqualTo(instance);
     }
 
-    private static ApartDispatcher host(Trials trials, int seed) {
+    private static SuspectDispatcher host(Trials trials, int seed) {
         Dispatcher dispatcher = Dispatchers.of(new Random(seed));
         for (String name : List.of("a", "b", "c", "d")) {
-            dispatcher.changed(instance(name, 1));
+            dispatcher.updateInstance(instance(name, 1));
         }
-        return new ApartDispatcher(dispatcher, trials);
+        return new SuspectDispatcher(dispatcher, trials);
     }
 
-    private static UpstreamId sentTo(ApartDispatcher host, RequestDigest suspect) {
+    private static UpstreamId sentTo(SuspectDispatcher host, RequestDigest suspect) {
         return choose(host, suspect) instanceof Choice.Send(var instance, var why)
                 ? instance.id()
                 : new UpstreamId("nowhere");
     }
 
-    private static Choice choose(ApartDispatcher host, RequestDigest suspect) {
+    private static Choice choose(SuspectDispatcher host, RequestDigest suspect) {
         return host.choose(suspect, NEED, id -> true, false, NOW);
     }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/WorkReportsTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/WorkReportsTest.java
@@ -21,30 +21,30 @@
 
     @Test
     void hostIsToldTheWorkOfAllOthers() {
-        reports.reported(ONE, Map.of(ENGINE, 5), NOW);
-        reports.reported(TWO, Map.of(ENGINE, 7), NOW);
-        reports.reported(THREE, Map.of(ENGINE, 11), NOW);
-        assertThat(reports.sumWithout(TWO, NOW)).isEqualTo(Map.of(ENGINE, 16));
+        reports.put(ONE, Map.of(ENGINE, 5), NOW);
+        reports.put(TWO, Map.of(ENGINE, 7), NOW);
+        reports.put(THREE, Map.of(ENGINE, 11), NOW);
+        assertThat(reports.sumExcluding(TWO, NOW)).isEqualTo(Map.of(ENGINE, 16));
     }
 
     @Test
     void newerReportTakesThePlaceOfTheOlder() {
-        reports.reported(ONE, Map.of(ENGINE, 5), NOW);
-        reports.reported(ONE, Map.of(), NOW);
-        assertThat(reports.sumWithout(TWO, NOW)).isEmpty();
+        reports.put(ONE, Map.of(ENGINE, 5), NOW);
+        reports.put(ONE, Map.of(), NOW);
+        assertThat(reports.sumExcluding(TWO, NOW)).isEmpty();
     }
 
     @Test
     void hostThatIsSilentCountsNoMore() {
-        reports.reported(ONE, Map.of(ENGINE, 5), NOW);
+        reports.put(ONE, Map.of(ENGINE, 5), NOW);
         long later = NOW + Duration.ofMillis(1100).toNanos();
-        assertThat(reports.sumWithout(TWO, later)).isEmpty();
+        assertThat(reports.sumExcluding(TWO, later)).isEmpty();
     }
 
     @Test
     void ofSeveralViewsTheFullestCounts() {
-        reports.reported(ONE, Map.of(ENGINE, 5), NOW);
-        reports.reported(TWO, Map.of(), NOW);
-        assertThat(reports.most(NOW)).isEqualTo(Map.of(ENGINE, 5));
+        reports.put(ONE, Map.of(ENGINE, 5), NOW);
+        reports.put(TWO, Map.of(), NOW);
+        assertThat(reports.max(NOW)).isEqualTo(Map.of(ENGINE, 5));
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/EntryFollowers.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/EntryFollowers.java
@@ -1,7 +1,7 @@
 package io.stackhall.server.control;
 
 import io.netty.channel.EventLoop;
-import io.stackhall.core.dispatch.ReportPace;
+import io.stackhall.core.dispatch.ReportTiming;
 import io.stackhall.core.fleet.Instance;
 import io.stackhall.core.id.HostId;
 import io.stackhall.core.id.UpstreamId;
@@ -155,7 +155,7 @@
     void tellWork(WorkBoard works) {
         long now = BootClock.nanos();
         long primaries = followers.values().stream().filter(one -> one.primary).count();
-        ReportPace pace = new ReportPace(Math.toIntExact(primaries));
+        ReportTiming pace = new ReportTiming(Math.toIntExact(primaries));
         if (now - workToldAt < pace.interval().toNanos()) {
             return;
         }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/WorkRelay.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/WorkRelay.java
@@ -1,7 +1,7 @@
 package io.stackhall.server.control;
 
 import io.stackhall.core.dispatch.InstanceWork;
-import io.stackhall.core.dispatch.ReportSum;
+import io.stackhall.core.dispatch.ReportAggregator;
 import io.stackhall.core.id.HostId;
 import io.stackhall.core.id.UpstreamId;
 import io.stackhall.rpc.generated.fleet.WorkReport;
@@ -25,7 +25,7 @@
     private final EntryFollowers followers;
     private final Consumer<Frame> toControlHosts;
     private final WorkBoard works = new WorkBoard();
-    private final ReportSum sum = new ReportSum();
+    private final ReportAggregator sum = new ReportAggregator();
     private final NothingOnce worksToTell = new NothingOnce();
     private final NothingOnce demandsToTell = new NothingOnce();
 
@@ -46,8 +46,8 @@
         HostId host = new HostId(report.getHost());
         works.reported(report, now);
         if (followers.isPrimaryOf(host)) {
-            sum.worked(host, WorkCodec.decode(report), now);
-            sum.unreadTold(host, WorkCodec.unread(report), now);
+            sum.addWork(host, WorkCodec.decode(report), now);
+            sum.addUnreadTokens(host, WorkCodec.unread(report), now);
         }
     }
 
@@ -55,19 +55,19 @@
     void demanded(DemandReport report) {
         HostId host = new HostId(report.getHost());
         if (followers.isPrimaryOf(host)) {
-            sum.asked(host, WorkCodec.decode(report), BootClock.nanos());
+            sum.addDemand(host, WorkCodec.decode(report), BootClock.nanos());
         }
     }
 
     /** Passes the reports of the entry hosts that rely on this host on to the other ones. */
     void passOn() {
         long now = BootClock.nanos();
-        sum.shared(followers.count());
+        sum.setHostCount(followers.count());
         Map<UpstreamId, InstanceWork> work = sum.takeWork(now);
         if (worksToTell.isDue(!work.isEmpty())) {
             toControlHosts.accept(WorkCodec.encodeOwn(self, work, sum.unreadTokens(now)));
         }
-        Map<String, ReportSum.Asked> asked = sum.takeAsked(now);
+        Map<String, ReportAggregator.Demand> asked = sum.takeDemand(now);
         if (demandsToTell.isDue(!asked.isEmpty())) {
             toControlHosts.accept(WorkCodec.encode(self, asked));
         }
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/WorkBoard.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/WorkBoard.java
@@ -20,15 +20,15 @@
 
     /** Takes in how many entry hosts there are, by which reports come more or less often. */
     public void shared(int hosts) {
-        requests.shared(hosts);
-        unread.shared(hosts);
+        requests.setHostCount(hosts);
+        unread.setHostCount(hosts);
     }
 
     /** Takes in what a host says. */
     public void reported(WorkReport report, long now) {
         HostId host = new HostId(report.getHost());
-        requests.reported(host, WorkCodec.requests(WorkCodec.decode(report)), now);
-        unread.reported(host, WorkCodec.unread(report), now);
+        requests.put(host, WorkCodec.requests(WorkCodec.decode(report)), now);
+        unread.put(host, WorkCodec.unread(report), now);
     }
 
     /**
@@ -38,16 +38,16 @@
      */
     public Frame withoutThatOf(HostId host, HostId self, long now) {
         return WorkCodec.encodeOthers(
-                self, requests.sumWithout(host, now), unread.sumWithout(host, now));
+                self, requests.sumExcluding(host, now), unread.sumExcluding(host, now));
     }
 
     /** Returns the most requests that any host has said of each instance. */
     public Map<UpstreamId, Integer> mostRequests(long now) {
-        return requests.most(now);
+        return requests.max(now);
     }
 
     /** Returns the most tokens to be read that any host has said of each instance. */
     public Map<UpstreamId, Integer> mostUnread(long now) {
-        return unread.most(now);
+        return unread.max(now);
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/WorkCodec.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/WorkCodec.java
@@ -1,7 +1,7 @@
 package io.stackhall.server.fleet;
 
 import io.stackhall.core.dispatch.InstanceWork;
-import io.stackhall.core.dispatch.ReportSum;
+import io.stackhall.core.dispatch.ReportAggregator;
 import io.stackhall.core.id.HostId;
 import io.stackhall.core.id.UpstreamId;
 import io.stackhall.rpc.generated.fleet.WorkReport;
@@ -41,7 +41,7 @@
     }
 
     /** Returns the frame in which a control host tells what its entry hosts are asked for. */
-    public static Frame encode(HostId host, Map<String, ReportSum.Asked> asked) {
+    public static Frame encode(HostId host, Map<String, ReportAggregator.Demand> asked) {
         DemandReport.Builder report = DemandReport.newBuilder().setHost(host.value());
         asked.forEach(
                 (name, one) ->
@@ -54,11 +54,12 @@
     }
 
     /** Returns what a host is asked for, by model or model and adapter. */
-    public static Map<String, ReportSum.Asked> decode(DemandReport report) {
-        Map<String, ReportSum.Asked> asked = new HashMap<>();
+    public static Map<String, ReportAggregator.Demand> decode(DemandReport report) {
+        Map<String, ReportAggregator.Demand> asked = new HashMap<>();
         for (DemandCount count : report.getCountsList()) {
             asked.put(
-                    count.getModel(), new ReportSum.Asked(count.getArrivals(), count.getWaiting()));
+                    count.getModel(),
+                    new ReportAggregator.Demand(count.getArrivals(), count.getWaiting()));
         }
         return asked;
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlFollower.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlFollower.java
@@ -227,8 +227,8 @@
         long now = BootClock.nanos();
         works.shared(gateway.entryHosts());
         works.reported(report, now);
-        gateway.dispatcher().othersTold(works.mostRequests(now), now);
-        gateway.dispatcher().othersUnreadTold(works.mostUnread(now), now);
+        gateway.dispatcher().updateRemoteRequests(works.mostRequests(now), now);
+        gateway.dispatcher().updateRemoteUnreadTokens(works.mostUnread(now), now);
     }
 
     private void evacuated(EvacuatedZones told) {
@@ -238,14 +238,14 @@
         }
         evacuated = newest;
         logger.info("evacuations.in-force revision={} zones={}", newest.revision(), newest.zones());
-        gateway.dispatcher().evacuated(newest);
+        gateway.dispatcher().setEvacuatedZones(newest);
         gateway.serveWaiting();
     }
 
     private void residency(ResidencyChange change) {
         if (change.getComingMillis() > 0) {
             gateway.dispatcher()
-                    .coming(
+                    .loadStarted(
                             UpstreamId.parse(change.getInstance()),
                             new ModelId(change.getModel()),
                             Duration.ofMillis(change.getComingMillis()),
@@ -254,7 +254,7 @@
             return;
         }
         gateway.dispatcher()
-                .residency(
+                .updateResidency(
                         UpstreamId.parse(change.getInstance()),
                         new ModelId(change.getModel()),
                         Optional.of(change.getAdapter()).filter(name -> !name.isEmpty()),
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
@@ -18,7 +18,7 @@
 import io.stackhall.core.customer.KeyTrust;
 import io.stackhall.core.customer.OutageAllowance;
 import io.stackhall.core.dispatch.Dispatcher;
-import io.stackhall.core.dispatch.RetryAllowance;
+import io.stackhall.core.dispatch.RetryLimiter;
 import io.stackhall.core.id.HostId;
 import io.stackhall.core.limit.LimitedUpstreams;
 import io.stackhall.core.quarantine.HostPauses;
@@ -112,7 +112,7 @@
                                 new Backpressure(limited, new RestingUpstreams(random)),
                                 random),
                         upstreams,
-                        new RetryAllowance(
+                        new RetryLimiter(
                                 limits.retryRatio(),
                                 limits.retrySlack(),
                                 ASSUMED_ENTRY_HOSTS,
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/Gateway.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/Gateway.java
@@ -4,7 +4,7 @@
 import io.stackhall.core.dispatch.Choice;
 import io.stackhall.core.dispatch.Dispatcher;
 import io.stackhall.core.dispatch.Need;
-import io.stackhall.core.dispatch.RetryAllowance;
+import io.stackhall.core.dispatch.RetryLimiter;
 import io.stackhall.core.fleet.Instance;
 import io.stackhall.core.fleet.InstanceState;
 import io.stackhall.core.id.ServiceName;
@@ -45,7 +45,7 @@
     private final EventLoop loop;
     private final Dispatcher dispatcher;
     private final UpstreamClient upstreams;
-    private final RetryAllowance retries;
+    private final RetryLimiter retries;
     private final RandomGenerator random;
     private final WaitingRequests waiting;
     private final DemandCounts demand = new DemandCounts();
@@ -69,7 +69,7 @@
             EventLoop loop,
             Dispatcher dispatcher,
             UpstreamClient upstreams,
-            RetryAllowance retries,
+            RetryLimiter retries,
             ControlNotices notices,
             CustomerGate customers,
             Consumer<Frame> toControlHosts,
@@ -105,9 +105,9 @@
         for (ServiceEntry service : next.services()) {
             service.engine().ifPresent(engine -> engines.put(service.name(), engine));
         }
-        dispatcher.engines(engines);
-        dispatcher.objectives(next.shortestObjectives());
-        dispatcher.coldPerSecond(next.coldPerSecond());
+        dispatcher.setEngines(engines);
+        dispatcher.setObjectives(next.shortestObjectives());
+        dispatcher.setColdRequestsPerSecond(next.coldPerSecond());
         customers.customers(next.customers());
         firstRoutes.release();
         serveWaiting();
@@ -116,7 +116,7 @@
     /** Takes in what is newly known of an instance. */
     void changed(Instance instance) {
         logChange(instance);
-        dispatcher.changed(instance);
+        dispatcher.updateInstance(instance);
         quarantine.heardOf(instance.id());
         if (instance.state() == InstanceState.GONE) {
             upstreams.forget(Address.parse(instance.address()));
@@ -222,11 +222,11 @@
         metrics.state("routes_version", routes == null ? -1.0 : (double) routes.version());
         metrics.state("instances", dispatcher.instances().size());
         metrics.state("waiting", waiting.size());
-        metrics.state("resends_left", retries.left());
+        metrics.state("resends_left", retries.remaining());
         metrics.state("caller_connections", connections.size());
         quarantine.measure();
         limits.measure();
-        metrics.state("resting_upstreams", dispatcher.resting());
+        metrics.state("resting_upstreams", dispatcher.restingCount());
     }
 
     /** Returns how many callers are connected. */
@@ -266,8 +266,8 @@
     /** Takes in how many entry hosts there are. */
     void entryHosts(int seen) {
         entryHosts = seen;
-        retries.shared(seen);
-        dispatcher.shared(seen);
+        retries.updateHostCount(seen);
+        dispatcher.setHostCount(seen);
     }
 
     /** Returns how many entry hosts there are, as far as the control hosts have told. */
@@ -281,11 +281,11 @@
     }
 
     boolean mayResend(ServiceName service, long now) {
-        return retries.take(service, now);
+        return retries.tryTake(service, now);
     }
 
     void arrived(Need need) {
-        retries.requested(need.service(), BootClock.nanos());
+        retries.recordRequest(need.service(), BootClock.nanos());
         demand.arrived(need);
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/OwnReports.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/OwnReports.java
@@ -1,7 +1,7 @@
 package io.stackhall.server.gateway;
 
 import io.stackhall.core.dispatch.InstanceWork;
-import io.stackhall.core.dispatch.ReportPace;
+import io.stackhall.core.dispatch.ReportTiming;
 import io.stackhall.core.id.UpstreamId;
 import io.stackhall.rpc.generated.peer.DemandReport;
 import io.stackhall.rpc.generated.peer.Frame;
@@ -30,7 +30,7 @@
     /** Tells of the requests at each instance, if that is due. */
     void tellWork() {
         long now = BootClock.nanos();
-        if (now - workToldAt < new ReportPace(follower.sharing()).interval().toNanos()) {
+        if (now - workToldAt < new ReportTiming(follower.sharing()).interval().toNanos()) {
             return;
         }
         workToldAt = now;
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/Quarantine.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/Quarantine.java
@@ -1,10 +1,10 @@
 package io.stackhall.server.gateway;
 
 import io.netty.channel.EventLoop;
-import io.stackhall.core.dispatch.ApartDispatcher;
 import io.stackhall.core.dispatch.Choice;
 import io.stackhall.core.dispatch.Dispatcher;
 import io.stackhall.core.dispatch.Need;
+import io.stackhall.core.dispatch.SuspectDispatcher;
 import io.stackhall.core.fleet.Instance;
 import io.stackhall.core.fleet.InstanceState;
 import io.stackhall.core.id.UpstreamId;
@@ -44,7 +44,7 @@
     private static final Logger logger = LogManager.getLogger(Quarantine.class);
 
     private final Dispatcher dispatcher;
-    private final ApartDispatcher apart;
+    private final SuspectDispatcher apart;
     private final EndedLives lives;
     private final FleetMetrics metrics;
     private final Consumer<Frame> toControlHosts;
@@ -61,7 +61,7 @@
             FleetMetrics metrics,
             Consumer<Frame> toControlHosts) {
         this.dispatcher = dispatcher;
-        this.apart = new ApartDispatcher(dispatcher, trials);
+        this.apart = new SuspectDispatcher(dispatcher, trials);
         this.lives = new EndedLives(loop, upstreams);
         this.metrics = metrics;
         this.toControlHosts = toControlHosts;
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RelayedRequest.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RelayedRequest.java
@@ -146,7 +146,7 @@
         if (choice instanceof Choice.HeldBack held) {
             log.heldBack(held, ahead);
         }
-        switch (admission.judge(choice, ahead, now)) {
+        switch (admission.decide(choice, ahead, now)) {
             case Verdict.Send(Instance instance, String why) -> {
                 if (right instanceof Right.Awaited || !rights.fresh()) {
                     waitsFor = WaitReason.ALLOWANCE;
@@ -158,7 +158,7 @@
                 if (choice instanceof Choice.HeldBack held) {
                     log.turnedBack(held);
                 }
-                last.giveUp(reason, gateway.dispatcher().turnedBack(choice, retryAfter, now));
+                last.giveUp(reason, gateway.dispatcher().retryAfter(choice, retryAfter, now));
             }
             case Verdict.WaitForAdapter(Instance instance) -> {
                 gateway.notices().wantAdapter(instance, need);
@@ -294,9 +294,9 @@
         history.ran();
         boolean failed = head.status().codeClass() == HttpStatusClass.SERVER_ERROR;
         if (failed) {
-            gateway.dispatcher().erred(instance.id());
+            gateway.dispatcher().requestFailed(instance.id());
         } else {
-            gateway.dispatcher().succeeded(instance.id());
+            gateway.dispatcher().requestSucceeded(instance.id());
         }
         if (stream.begun()) {
             resume(instance);
@@ -346,9 +346,9 @@
     private void notRun(Instance instance, HttpResponse head) {
         log.notRun(instance, head.status().code());
         history.notRun(instance.id());
-        boolean rests = gateway.dispatcher().rests(instance.id(), BootClock.nanos());
+        boolean rests = gateway.dispatcher().isResting(instance.id(), BootClock.nanos());
         if (!rests) {
-            gateway.dispatcher().turnedAway(instance.id(), need, BootClock.nanos());
+            gateway.dispatcher().requestRejected(instance.id(), need, BootClock.nanos());
         }
         boolean comes = need.adapter().isPresent() && history.adapterMayCome();
         if (stream.begun()) {
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestLog.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestLog.java
@@ -111,7 +111,7 @@
                     held.reason() == WaitReason.REST ? "request.resting" : "request.limited",
                     id,
                     held.instance().id(),
-                    held.expected(ahead).toMillis(),
+                    held.expectedWait(ahead).toMillis(),
                     ageMillis(),
                     leftOut);
         }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamAttempt.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamAttempt.java
@@ -5,8 +5,8 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpStatusClass;
+import io.stackhall.core.dispatch.InFlightRequest;
 import io.stackhall.core.dispatch.Need;
-import io.stackhall.core.dispatch.Sending;
 import io.stackhall.core.fleet.Instance;
 import io.stackhall.core.limit.LimitRevision;
 import io.stackhall.core.route.RouteKind;
@@ -24,7 +24,7 @@
     private final Instance instance;
     private final boolean stream;
     private final AttemptListener listener;
-    private final Sending sending;
+    private final InFlightRequest sending;
     private final LimitRevision limitKnown;
     private final EventAssembler events = new EventAssembler();
     private UpstreamCall call;
@@ -48,7 +48,7 @@
         this.instance = instance;
         this.stream = kind == RouteKind.STREAM;
         this.listener = listener;
-        this.sending = gateway.dispatcher().began(instance.id(), need, BootClock.nanos());
+        this.sending = gateway.dispatcher().requestSent(instance.id(), need, BootClock.nanos());
         this.limitKnown = gateway.upstreamLimits().sent(instance.id());
     }
 
@@ -61,7 +61,7 @@
     /** Ends the attempt, breaking the call off where it is not over. */
     void abandon() {
         over = true;
-        gateway.dispatcher().ended(sending, BootClock.nanos());
+        gateway.dispatcher().requestEnded(sending, BootClock.nanos());
         if (call != null) {
             call.cancel();
         }
@@ -97,12 +97,15 @@
                 .ifPresent(
                         load ->
                                 gateway.dispatcher()
-                                        .told(instance.id(), load.running() + load.waiting(), now));
+                                        .updateReportedLoad(
+                                                instance.id(),
+                                                load.running() + load.waiting(),
+                                                now));
         boolean good = answer.status().codeClass() == HttpStatusClass.SUCCESS;
         if (!good) {
-            gateway.dispatcher().answeredInFailure(sending, !Answers.saysNotRun(answer));
+            gateway.dispatcher().errorResponseStarted(sending, !Answers.saysNotRun(answer));
         } else if (!stream) {
-            gateway.dispatcher().answered(sending, now);
+            gateway.dispatcher().responseStarted(sending, now);
         }
         if (!good || !stream) {
             plainBody = Unpooled.buffer();
@@ -118,7 +121,7 @@
         events.add(part);
         EventAssembler.Event event = events.next();
         while (event != null && !over) {
-            gateway.dispatcher().answered(sending, BootClock.nanos());
+            gateway.dispatcher().responseStarted(sending, BootClock.nanos());
             if (!firstSeen) {
                 firstSeen = true;
                 gateway.promptRead();
@@ -130,11 +133,11 @@
 
     @Override
     public void completed() {
-        gateway.dispatcher().ended(sending, BootClock.nanos());
+        gateway.dispatcher().requestEnded(sending, BootClock.nanos());
         if (plainBody != null) {
             listener.answered(head, plainBody);
         } else {
-            gateway.dispatcher().succeeded(instance.id());
+            gateway.dispatcher().requestSucceeded(instance.id());
             listener.streamEnded(head, events.rest());
         }
     }
@@ -143,12 +146,12 @@
     public void failed(CallFailure failure) {
         long now = BootClock.nanos();
         if (failure.sent()) {
-            gateway.dispatcher().ended(sending, now);
+            gateway.dispatcher().requestEnded(sending, now);
         } else {
-            gateway.dispatcher().notWritten(sending, now);
+            gateway.dispatcher().requestNotWritten(sending, now);
         }
         if (failure.stage() != CallFailure.Stage.WITHDRAWN) {
-            gateway.dispatcher().failed(instance.id(), now);
+            gateway.dispatcher().connectionFailed(instance.id(), now);
         }
         listener.brokeOff(failure);
     }
