--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/Admission.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/Admission.java
@@ -4,29 +4,39 @@
 import java.time.Duration;
 
 /**
- * Judges for one request, each time it is looked at, whether it is sent, waits on or is given up.
+ * Decides for one waiting request, each time it is reconsidered, whether it is sent, keeps waiting
+ * or is refused.
  *
- * <p>What cannot come in time is not waited for: the request is given up at once, with the time
- * after which it is worth another try.
+ * <p>A request does not wait for something that cannot arrive before its deadline: it is refused at
+ * once, with the time after which a retry makes sense.
  */
 public final class Admission {
 
-    /** Beyond a load's own time: for the order to be given and for room to be made. */
+    /** Added to the load time of a model, for issuing the load order and for freeing memory. */
     private static final Duration LOAD_OVERHEAD = Duration.ofMillis(300);
 
-    /** From the order of a load, by way of the engine's answer, to the word of it at every host. */
+    /**
+     * Time from issuing a load order, through the answer of the engine, until every host has been
+     * notified of the load.
+     */
     private static final Duration ANNOUNCEMENT_DELAY = Duration.ofMillis(500);
 
-    /** Those that have waited for a load are served first. */
+    /** Time after a load in which the requests that already waited for it are served first. */
     private static final Duration BACKLOG_AFTER_LOAD = Duration.ofMillis(300);
 
-    /** When nobody serves at all, the next heartbeats, 1.2 s apart, may bring someone. */
+    /**
+     * Time until the next heartbeats, which are 1.2 s apart, when no instance of a service is
+     * known.
+     */
     private static final Duration NEXT_HEARTBEAT = Duration.ofMillis(1300);
 
-    /** An adapter takes some ten milliseconds, and its engine may be busy with another order. */
+    /**
+     * Loading an adapter takes some ten milliseconds, but its engine may be busy with another
+     * order.
+     */
     private static final Duration ADAPTER_LOAD_TIME = Duration.ofMillis(500);
 
-    /** Places come free at any moment. */
+    /** Retry delay for requests that wait for a slot, since slots become free at any moment. */
     private static final Duration SHORT_RETRY_DELAY = Duration.ofMillis(300);
 
     private static final String AT_LIMIT = "its instances are at the limits that they name";
@@ -37,50 +47,52 @@
     private final WaitBudget waitBudget;
     private final long objectiveUntil;
 
-    /** What becomes of the request now. */
+    /** The decision about a request. */
     public sealed interface Verdict {
 
-        /** It is sent to this instance. */
+        /** The request is sent to this instance. */
         record Send(Instance instance, String why) implements Verdict {}
 
-        /** It waits on. */
+        /** The request keeps waiting. */
         record Wait(WaitReason reason) implements Verdict {}
 
-        /** It waits on for its adapter, which is to be made resident on this instance. */
+        /** The request keeps waiting for its adapter, which is to be loaded on this instance. */
         record WaitForAdapter(Instance instance) implements Verdict {}
 
         /**
-         * It is given up.
+         * The request is refused.
          *
-         * @param retryAfter when it is worth another try
+         * @param retryAfter the time after which a retry makes sense
          */
         record GiveUp(String reason, Duration retryAfter) implements Verdict {}
     }
 
     /**
-     * Creates the admission of a request that has just come or begun to wait again.
+     * Creates the admission control of a request that has just arrived or starts to wait again, and
+     * for which any answer before the deadline is good enough.
      *
-     * @param latest when a send is of no use any more, on the monotonic clock in nanoseconds
+     * @param latest the time after which sending is useless, on the monotonic clock in nanoseconds
      */
     public Admission(long latest) {
         this(latest, latest);
     }
 
     /**
-     * Creates the admission of a request that has just come or begun to wait again.
+     * Creates the admission control of a request that has just arrived or starts to wait again.
      *
-     * @param latest when a send is of no use any more, on the monotonic clock in nanoseconds
-     * @param inTimeUntil until when a send may bring an answer within the objective
+     * @param latest the time after which sending is useless, on the monotonic clock in nanoseconds
+     * @param objectiveUntil the last time at which a send may still be answered within the latency
+     *     objective
      */
-    public Admission(long latest, long inTimeUntil) {
+    public Admission(long latest, long objectiveUntil) {
         this.waitBudget = new WaitBudget(latest);
-        this.objectiveUntil = inTimeUntil;
+        this.objectiveUntil = objectiveUntil;
     }
 
     /**
-     * Judges.
+     * Decides what happens to the request, given the choice that the dispatcher has made for it.
      *
-     * @param ahead how many requests for the same model are served before this one
+     * @param ahead the number of requests for the same model that are served before this one
      */
     public Verdict decide(Choice choice, int ahead, long now) {
         return switch (choice) {
@@ -116,8 +128,10 @@
     }
 
     /**
-     * A load that has begun is announced. Requests for models that no engine had at hand waited 13
-     * of their 15 s for loads of 8 s that had not begun, and were refused (a calm day, 17 of 96).
+     * Decides about a request whose model no engine holds or loads. A load that has started is
+     * announced, so at least the load time less {@link #ANNOUNCEMENT_DELAY} is still ahead. Without
+     * this check, requests for models that no engine held waited 13 of their 15 s for loads of 8 s
+     * that had not started, and were then refused (17 of 96 on a quiet day).
      */
     private Verdict modelMissing(Duration load, long now) {
         String reason = "its model is not resident";
@@ -133,7 +147,10 @@
                 : new Verdict.Wait(wait);
     }
 
-    /** What cannot go to an instance in time may still go elsewhere; or else it is given up. */
+    /**
+     * Waits for the limit or rest to end if that is soon enough, else tries the alternative, else
+     * refuses.
+     */
     private Verdict heldBack(Choice.HeldBack held, int ahead, long now) {
         Duration expected = held.expectedWait(ahead);
         if (meetsObjective(expected, now) && !waitBudget.wouldMissDeadline(expected, now)) {
@@ -145,17 +162,18 @@
             return new Verdict.GiveUp(reason, expected);
         }
         return switch (decide(held.otherwise().get(), ahead, now)) {
-            case Verdict.GiveUp(String without, Duration after) ->
+            case Verdict.GiveUp(String otherReason, Duration otherRetry) ->
                     new Verdict.GiveUp(
-                            reason + ", " + without,
-                            after.compareTo(expected) < 0 ? after : expected);
-            case Verdict without -> without;
+                            reason + ", " + otherReason,
+                            otherRetry.compareTo(expected) < 0 ? otherRetry : expected);
+            case Verdict other -> other;
         };
     }
 
     /**
-     * A limit that is asked for more than it allows serves the same number of requests whether they
-     * wait or not: those who would wait beyond their objective would make all others late as well.
+     * Returns whether waiting for the given time still meets the latency objective. An instance
+     * with a limit serves the same number of requests whether they wait or not, so requests that
+     * would wait beyond their objective would only make all others late as well.
      */
     private boolean meetsObjective(Duration expected, long now) {
         boolean inTime = now + expected.toNanos() - objectiveUntil <= 0;
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/Candidates.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/Candidates.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** The instances that may get one request, each with its score; the least one wins. */
+/** The instances that may get one request, each with a score; the lowest score wins. */
 final class Candidates {
 
     private final List<ScoredInstance> scored = new ArrayList<>();
@@ -18,11 +18,12 @@
     /**
      * Adds an instance.
      *
-     * @param apart by what a request that is to be kept apart picks, whatever the score
+     * @param suspect the digest of a request that must run in isolation: its instance follows from
+     *     the digest instead of the score
      */
-    void add(Instance instance, double score, Optional<RequestDigest> apart) {
+    void add(Instance instance, double score, Optional<RequestDigest> suspect) {
         double order =
-                apart.map(request -> (double) Trials.order(request, instance.id())).orElse(score);
+                suspect.map(request -> (double) Trials.order(request, instance.id())).orElse(score);
         scored.add(new ScoredInstance(instance, order));
     }
 
@@ -30,7 +31,7 @@
         return scored.isEmpty();
     }
 
-    /** Returns the one with the least score; among equals any. */
+    /** Returns the instance with the lowest score; ties are broken arbitrarily. */
     Instance lowestScore(RandomGenerator random) {
         ScoredInstance best = scored.get(random.nextInt(scored.size()));
         for (ScoredInstance candidate : scored) {
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/Choice.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/Choice.java
@@ -5,48 +5,47 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** What is to become of a request now. */
+/** What the dispatcher chooses for a request at one moment. */
 public sealed interface Choice {
 
-    /** It can be sent to this instance. */
+    /** The request can be sent to this instance. */
     record Send(Instance instance, String why) implements Choice {}
 
     /**
-     * It waits for a place: every instance that could run it is full.
+     * The request waits for a slot: every instance that could run it is full.
      *
-     * @param placesPerSecond how many requests this host can send to them, or 0 where that is not
-     *     known
+     * @param placesPerSecond how many requests per second this host can send to those instances, or
+     *     0 if that is unknown
      */
     record Full(double placesPerSecond) implements Choice {}
 
-    /** It waits until whoever could run it now takes more of this host. */
+    /**
+     * The request waits until an instance that could run it accepts requests from this host again.
+     */
     sealed interface HeldBack extends Choice {
 
-        /** Returns the instance that it waits for. */
+        /** Returns the instance that the request waits for. */
         Instance instance();
 
         /**
-         * Returns when it may be sent there.
+         * Returns how long the request has to wait until it may be sent to that instance.
          *
-         * @param ahead how many requests for the same model are sent before it
+         * @param ahead the number of requests for the same model that are sent before it
          */
         Duration expectedWait(int ahead);
 
-        /** Returns what is waited for, as the log tells it. */
+        /** Returns what the request waits for, as it is written to the log. */
         WaitReason reason();
 
-        /**
-         * Returns what would become of it without that instance, or nothing where there is no other
-         * one.
-         */
+        /** Returns the choice without that instance, or empty if there is no other instance. */
         Optional<Choice> otherwise();
     }
 
     /**
-     * It waits for a permit: whoever could run it now takes only so many requests a second from all
-     * hosts.
+     * The request waits for a permit: the instance that could run it accepts only a limited number
+     * of requests per second from all hosts together.
      *
-     * @param waits when permits may be expected
+     * @param waits when permits can be expected
      */
     record Limited(Instance instance, PermitWaits waits, Optional<Choice> otherwise)
             implements HeldBack {
@@ -63,9 +62,10 @@
     }
 
     /**
-     * It waits until a rest ends: whoever could run it now wants nothing from this host.
+     * The request waits until a rest ends: the instance that could run it has asked this host to
+     * send nothing for a while.
      *
-     * @param left how much longer the rest lasts
+     * @param left the remaining time of the rest
      */
     record Resting(Instance instance, Duration left, Optional<Choice> otherwise)
             implements HeldBack {
@@ -81,29 +81,34 @@
         }
     }
 
-    /** It waits for the adapter, which is to be made resident on this instance. */
+    /** The request waits for its adapter, which is to be loaded on this instance. */
     record AdapterMissing(Instance instance) implements Choice {}
 
     /**
-     * It waits for its model.
+     * The request waits for its model, which no instance holds or loads.
      *
-     * @param load how long the model's load takes where its weights are nearest at hand
+     * @param load the load time of the model from its nearest copy
      */
     record ModelMissing(Duration load) implements Choice {}
 
     /**
-     * It waits for its model, which is being loaded.
+     * The request waits for its model, which is being loaded.
      *
-     * @param left how much longer the load takes
+     * @param left the remaining time of the load
      */
     record ModelComing(Duration left) implements Choice {}
 
-    /** No instance of its service is known that may take work. */
+    /** No instance of the service is known that accepts requests. */
     record NobodyServes() implements Choice {}
 
-    /** Every instance of its service that may take work has had it, or could not be reached. */
+    /**
+     * Every instance of the service that accepts requests has already been tried or was
+     * unreachable.
+     */
     record AllTried() implements Choice {}
 
-    /** It waits until another request that is to be kept apart from it has left its instance. */
+    /**
+     * The request must run in isolation and waits until another such request has left its instance.
+     */
     record Apart() implements Choice {}
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/ColdInstanceLimiter.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/ColdInstanceLimiter.java
@@ -9,25 +9,30 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which requests one of many hosts may send to instances that are cold, and bear only few a second
- * from all hosts together.
+ * Limits the requests that one of many hosts sends to cold instances, which handle only a few per
+ * second from all hosts together.
  *
- * <p>Load pattern: an instance comes back cold among two that are warm, and each of 75 hosts takes
- * it for the least loaded one. Together they send it five times what it bears, and it ends again.
+ * <p>When an instance returns cold beside two warm ones, each of 75 hosts sees it as the least
+ * loaded. Together they would send five times what it can handle, and it would crash again.
  *
- * <p>Hosts agree on nothing for this: each has a short turn in every period that is as many times
- * as long as there are hosts, at a moment drawn at random. A turn that is not used is lost, so that
- * a burst after a quiet second finds no more turns than any other. What a cold instance bears
- * beyond that stays unused; the others are there for it.
+ * <p>Hosts need no coordination for this. Each one has a short time slot in every period, at a
+ * random phase; the period grows with the number of hosts. An unused time slot is lost, so that a
+ * burst after an idle second finds no more time slots than any other. The rest of a cold instance's
+ * capacity stays unused, as the other instances can take those requests.
  *
- * <p>Not thread-safe: one thread uses it.
+ * <p>Not thread-safe: used by one thread.
  */
 final class ColdInstanceLimiter {
 
-    /** The rest is for turns that meet by chance. */
+    /**
+     * Share of the capacity that is used; the rest allows for time slots of several hosts that
+     * overlap by chance.
+     */
     private static final double USED_SHARE = 0.7;
 
-    /** A host that has a request every half second uses half of its turns. */
+    /**
+     * Length of a time slot. A host with one request every half second uses half of its time slots.
+     */
     private static final long TIME_SLOT_NANOS = Duration.ofMillis(300).toNanos();
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -37,8 +42,8 @@
     private int hostCount;
 
     /**
-     * The turns of this host at one instance, counted from the first look after it was heard to be
-     * cold; the moments are of the monotonic clock.
+     * The time slots of this host at one instance, counted from the first check after the instance
+     * reported that it is cold. Times are on the monotonic clock, in nanoseconds.
      */
     private static final class SendSchedule {
         private final double phase;
@@ -66,12 +71,15 @@
         this.random = random;
     }
 
-    /** Takes in how many hosts share what a cold instance bears; 0 where that is not known yet. */
-    void setHostCount(int among) {
-        hostCount = among;
+    /**
+     * Sets the number of hosts that share the capacity of a cold instance; 0 if it is not known
+     * yet.
+     */
+    void setHostCount(int hosts) {
+        hostCount = hosts;
     }
 
-    /** Takes in how much longer an instance says that it is cold. */
+    /** Records how much longer an instance reports to be cold. */
     void update(Instance instance) {
         if (instance.cold().isZero()) {
             schedules.remove(instance.id());
@@ -87,40 +95,40 @@
     }
 
     /**
-     * Returns whether this host may send an instance a request now.
+     * Returns whether this host may send a request to an instance now.
      *
-     * @param perSecond what a cold instance of its service bears from all hosts together, or 0
-     *     where that is without bound
+     * @param perSecond how many requests per second a cold instance of the service handles from all
+     *     hosts together, or 0 if there is no limit
      */
     boolean allows(UpstreamId id, double perSecond, long now) {
-        SendSchedule turns = schedules.get(id);
-        if (turns == null || perSecond <= 0) {
+        SendSchedule schedule = schedules.get(id);
+        if (schedule == null || perSecond <= 0) {
             return true;
         }
-        turns.refresh(now);
-        if (now - turns.coldUntil >= 0) {
+        schedule.refresh(now);
+        if (now - schedule.coldUntil >= 0) {
             return true;
         }
-        long turn = timeSlot(turns, perSecond, now);
-        return turn >= 0 && turn != turns.usedTimeSlot;
+        long slot = timeSlot(schedule, perSecond, now);
+        return slot >= 0 && slot != schedule.usedTimeSlot;
     }
 
-    /** Notes that a request is sent to an instance. */
+    /** Records that a request is sent to an instance, which uses up the current time slot. */
     void recordSent(UpstreamId id, double perSecond, long now) {
-        SendSchedule turns = schedules.get(id);
-        if (turns != null && perSecond > 0) {
-            turns.refresh(now);
-            turns.usedTimeSlot = timeSlot(turns, perSecond, now);
+        SendSchedule schedule = schedules.get(id);
+        if (schedule != null && perSecond > 0) {
+            schedule.refresh(now);
+            schedule.usedTimeSlot = timeSlot(schedule, perSecond, now);
         }
     }
 
-    /** Returns which turn it is, or -1 where it is none of this host's. */
-    private long timeSlot(SendSchedule turns, double perSecond, long now) {
+    /** Returns the number of the current time slot, or -1 outside the time slots of this host. */
+    private long timeSlot(SendSchedule schedule, double perSecond, long now) {
         if (hostCount == 0) {
             return -1;
         }
         double period = hostCount / (perSecond * USED_SHARE) * NANOS_PER_SECOND;
-        double passed = (now - turns.startedAt) / period + turns.phase;
+        double passed = (now - schedule.startedAt) / period + schedule.phase;
         double intoPeriod = (passed - Math.floor(passed)) * period;
         return intoPeriod < TIME_SLOT_NANOS ? (long) Math.floor(passed) : -1;
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/DispatchRequest.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/DispatchRequest.java
@@ -5,12 +5,14 @@
 import java.util.Optional;
 
 /**
- * What is asked of an engine for one request.
+ * One request as the instance selectors see it.
  *
  * @param need what the request needs
- * @param objective the shortest of those who ask the service
- * @param remaining what is left of its own objective; nothing where its answer can only be late
- * @param suspect by what a request that is to be kept apart picks among instances
+ * @param objective the shortest latency objective of the routes that lead to the service
+ * @param remaining what remains of the request's own latency objective; not positive if it can only
+ *     be answered late
+ * @param suspect the digest by which a request that must run in isolation picks its instance; empty
+ *     for all other requests
  * @param now the monotonic clock, in nanoseconds
  */
 record DispatchRequest(
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/Dispatcher.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/Dispatcher.java
@@ -20,10 +20,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Picks the instance for each request of one host, by what is resident where, which prompt parts
- * were read where, and how much work each instance has.
+ * Picks the instance for each request of one host, by where models are resident, where parts of the
+ * prompt were processed before, and how much work each instance has.
  *
- * <p>Not thread-safe: one thread uses it.
+ * <p>Times named {@code now} are on the monotonic clock, in nanoseconds. Unread tokens are prompt
+ * tokens that an engine has received but not processed yet. The first event is the first one of a
+ * streamed answer, or the head of a plain one.
+ *
+ * <p>Not thread-safe: used by one thread.
  */
 public final class Dispatcher {
 
@@ -37,9 +41,10 @@
     private final InstanceSelector selector;
 
     /**
-     * Creates a dispatcher that knows no instance.
+     * Creates a dispatcher that knows no instances.
      *
-     * @param backpressure what instances ask of this host
+     * @param zone the zone of this host
+     * @param backpressure the limits and rests that instances have asked of this host
      */
     public Dispatcher(ZoneId zone, Backpressure backpressure, RandomGenerator random) {
         this.coldLimiter = new ColdInstanceLimiter(random);
@@ -53,33 +58,33 @@
                         new EngineSelector(zone, random, this::load, residency));
     }
 
-    /** Takes over what the services' engines are like. */
+    /** Replaces the engine specifications of all services. */
     public void setEngines(Map<ServiceName, EngineSpec> next) {
-        services.engines(next);
+        services.setEngines(next);
     }
 
-    /** Takes over how many requests a second the services' instances bear while they are cold. */
+    /** Replaces the number of requests per second that a cold instance of each service handles. */
     public void setColdRequestsPerSecond(Map<ServiceName, Double> next) {
-        services.coldRequestsPerSecond(next);
+        services.setColdRequestsPerSecond(next);
     }
 
-    /** Takes in how many hosts there are, which share what a cold instance bears. */
+    /** Sets the number of hosts, which share cold instances and the limits of instances. */
     public void setHostCount(int hosts) {
         coldLimiter.setHostCount(hosts);
         backpressure.shared(hosts);
     }
 
-    /** Takes over which zones' instances get nothing. */
+    /** Replaces the set of zones whose instances get no requests. */
     public void setEvacuatedZones(EvacuatedZones next) {
         evacuated = next;
     }
 
-    /** Takes over the shortest objective of the routes that lead to each service. */
+    /** Replaces the shortest latency objective of the routes that lead to each service. */
     public void setObjectives(Map<ServiceName, Duration> next) {
-        services.objectives(next);
+        services.setObjectives(next);
     }
 
-    /** Takes in what is newly known of an instance. */
+    /** Updates what is known of an instance, or removes it if it is gone. */
     public void updateInstance(Instance instance) {
         if (instance.state() == InstanceState.GONE) {
             coldLimiter.forget(instance.id());
@@ -94,9 +99,10 @@
     }
 
     /**
-     * Notes what an instance holds now, or is about to hold no more, before its next report.
+     * Records that an instance has loaded, or is about to unload, a model or an adapter, before its
+     * next report.
      *
-     * @param adapter the adapter concerned, or nothing where the model itself is
+     * @param adapter the adapter, or empty if the model itself is loaded or unloaded
      */
     public void updateResidency(
             UpstreamId id, ModelId model, Optional<String> adapter, boolean resident, long now) {
@@ -106,9 +112,9 @@
     }
 
     /**
-     * Notes that an instance has begun to load a model.
+     * Records that an instance has started to load a model.
      *
-     * @param within how long the load takes
+     * @param within the duration of the load
      */
     public void loadStarted(UpstreamId id, ModelId model, Duration within, long now) {
         if (instances.containsKey(id)) {
@@ -116,19 +122,18 @@
         }
     }
 
-    /** Notes that an instance has refused a request because it lacks what it asks for. */
+    /** Records that an instance has rejected a request because it lacks the model or adapter. */
     public void modelMissing(UpstreamId id, Need need, long now) {
         if (need.model().isPresent()) {
             updateResidency(id, need.model().get(), need.adapter(), false, now);
         }
     }
 
-    /** Returns every known instance. */
+    /** Returns all known instances. */
     public Collection<Instance> instances() {
         return instances.values();
     }
 
-    /** Returns what is known of an instance. */
     public Optional<Instance> find(UpstreamId id) {
         return Optional.ofNullable(instances.get(id));
     }
@@ -137,7 +142,7 @@
      * Decides where a request goes.
      *
      * @param allowed the instances that it may be sent to
-     * @param late whether its answer can only be late
+     * @param late whether its answer can no longer meet the latency objective
      */
     public Choice choose(Need need, Predicate<UpstreamId> allowed, boolean late, long now) {
         return choose(need, allowed, late, Optional.empty(), now);
@@ -147,86 +152,89 @@
      * Decides where a request goes.
      *
      * @param allowed the instances that it may be sent to
-     * @param left what is left of its objective; nothing where its answer can only be late
+     * @param remaining what remains of its latency objective; not positive if its answer can only
+     *     be late
      */
-    public Choice choose(Need need, Predicate<UpstreamId> allowed, Duration left, long now) {
-        return choose(need, allowed, left, Optional.empty(), now);
+    public Choice choose(Need need, Predicate<UpstreamId> allowed, Duration remaining, long now) {
+        return choose(need, allowed, remaining, Optional.empty(), now);
     }
 
     /**
      * Decides where a request goes.
      *
      * @param allowed the instances that it may be sent to
-     * @param late whether its answer can only be late
-     * @param apart by what a request that is to be kept apart picks among instances, whatever their
-     *     load: the same for each copy of it, at any host
+     * @param late whether its answer can no longer meet the latency objective
+     * @param suspect the digest by which a request that must run in isolation picks its instance,
+     *     whatever the load: every copy of it picks the same instance on any host
      */
     public Choice choose(
             Need need,
             Predicate<UpstreamId> allowed,
             boolean late,
-            Optional<RequestDigest> apart,
+            Optional<RequestDigest> suspect,
             long now) {
-        Duration left = late ? Duration.ZERO : services.objective(need.service());
-        return choose(need, allowed, left, apart, now);
+        Duration remaining = late ? Duration.ZERO : services.objective(need.service());
+        return choose(need, allowed, remaining, suspect, now);
     }
 
     private Choice choose(
             Need need,
             Predicate<UpstreamId> allowed,
-            Duration left,
-            Optional<RequestDigest> apart,
+            Duration remaining,
+            Optional<RequestDigest> suspect,
             long now) {
-        DispatchRequest asked =
-                new DispatchRequest(need, services.objective(need.service()), left, apart, now);
-        return selector.select(asked, instances.values(), evacuated, allowed);
+        DispatchRequest request =
+                new DispatchRequest(
+                        need, services.objective(need.service()), remaining, suspect, now);
+        return selector.select(request, instances.values(), evacuated, allowed);
     }
 
-    /** Notes that a request is sent. */
+    /** Records that a request is sent, and returns its handle for the later calls about it. */
     public InFlightRequest requestSent(UpstreamId id, Need need, long now) {
         coldLimiter.recordSent(id, services.coldRequestsPerSecond(need.service()), now);
         backpressure.sent(id, now);
         InstanceLoad load = load(id);
-        boolean alone = load.unreadTokens(services.prefillRate(need.service()), now) <= 0;
-        InFlightRequest sending =
-                new InFlightRequest(id, need, load.uncachedTokens(need), alone, now);
-        load.requestSent(sending.uncachedTokens(), now);
-        return sending;
+        boolean nothingUnread = load.unreadTokens(services.prefillRate(need.service()), now) <= 0;
+        InFlightRequest inFlight =
+                new InFlightRequest(id, need, load.uncachedTokens(need), nothingUnread, now);
+        load.requestSent(inFlight.uncachedTokens(), now);
+        return inFlight;
     }
 
-    /** Notes the first event, or the head of a plain answer, of a request that is served. */
-    public void responseStarted(InFlightRequest sending, long now) {
-        if (!sending.markAnswered()) {
+    /** Records the first event of a request that is served. */
+    public void responseStarted(InFlightRequest inFlight, long now) {
+        if (!inFlight.markAnswered()) {
             return;
         }
-        InstanceLoad load = load(sending.instance());
-        load.responseStarted(sending.uncachedTokens(), sending.startedAt());
+        InstanceLoad load = load(inFlight.instance());
+        load.responseStarted(inFlight.uncachedTokens(), inFlight.startedAt());
         load.recordFirstEvent(
-                sending.startedAt(), now, services.objective(sending.need().service()));
-        if (sending.nothingUnread()) {
-            services.prefillRate(sending.need().service())
-                    .addSample(sending.uncachedTokens(), now - sending.startedAt());
+                inFlight.startedAt(), now, services.objective(inFlight.need().service()));
+        if (inFlight.nothingUnread()) {
+            services.prefillRate(inFlight.need().service())
+                    .addSample(inFlight.uncachedTokens(), now - inFlight.startedAt());
         }
         load.resetBackoff();
-        backpressure.answered(sending.instance(), sending.startedAt());
-        sending.need().parts().forEach(part -> load.rememberPart(part.id(), now));
+        backpressure.answered(inFlight.instance(), inFlight.startedAt());
+        inFlight.need().parts().forEach(part -> load.rememberPart(part.id(), now));
     }
 
     /**
-     * Notes the head of an answer to a request that is not served. It comes at once, and so tells
-     * nothing of how long work takes there: an instance that fails all it gets would look like the
-     * quickest one, and draw most of what comes.
+     * Records the head of an error answer. Its latency is not sampled: errors come at once and say
+     * nothing about how long work takes there. An instance that fails every request would otherwise
+     * look like the fastest one and attract most of the traffic.
      *
-     * @param taken whether the instance took the request in, rather than turn it away
+     * @param taken whether the instance accepted the request before it failed, rather than
+     *     rejecting it
      */
-    public void errorResponseStarted(InFlightRequest sending, boolean taken) {
-        load(sending.instance()).resetBackoff();
+    public void errorResponseStarted(InFlightRequest inFlight, boolean taken) {
+        load(inFlight.instance()).resetBackoff();
         if (taken) {
-            backpressure.answered(sending.instance(), sending.startedAt());
+            backpressure.answered(inFlight.instance(), inFlight.startedAt());
         }
     }
 
-    /** Notes that an instance wants nothing from this host for some time. */
+    /** Records that an instance has asked this host to send nothing for the given time. */
     public void restRequested(UpstreamId id, Duration time, long now) {
         if (instances.containsKey(id)) {
             backpressure.wantsRest(id, time, now);
@@ -234,8 +242,8 @@
     }
 
     /**
-     * Notes that an instance has turned a request away and does not say for how long. An engine may
-     * do so for the one model that is asked for, a plain service does so for all.
+     * Records that an instance has rejected a request without a retry time. For an engine this may
+     * concern only the requested model; for a plain service it concerns all requests.
      */
     public void requestRejected(UpstreamId id, Need need, long now) {
         if (need.model().isPresent()) {
@@ -246,30 +254,30 @@
     }
 
     /**
-     * Notes that a request is given up, and returns when its caller may come again: those that are
-     * turned back for the same rest come one after the other.
+     * Returns when the caller of a refused request should retry. Callers that are refused because
+     * of the same rest are spread out over time.
      *
-     * @param choice what the request was given up for
-     * @param after when it is worth another try at the earliest
+     * @param choice the choice because of which the request was refused
+     * @param after the earliest time at which a retry makes sense
      */
     public Duration retryAfter(Choice choice, Duration after, long now) {
-        if (choice instanceof Choice.Resting held && after.compareTo(held.left()) >= 0) {
-            return backpressure.callerReturns(held.instance().id(), now);
+        if (choice instanceof Choice.Resting resting && after.compareTo(resting.left()) >= 0) {
+            return backpressure.callerReturns(resting.instance().id(), now);
         }
         return after;
     }
 
-    /** Returns whether an instance wants nothing from this host at present. */
+    /** Returns whether an instance has asked this host to send nothing at present. */
     public boolean isResting(UpstreamId id, long now) {
         return backpressure.rests(id, now);
     }
 
-    /** Returns how many instances this host keeps away from, or is coming back to. */
+    /** Returns how many instances this host avoids for a rest, or is ramping up after one. */
     public int restingCount() {
         return backpressure.resting();
     }
 
-    /** Returns whether a request that was chosen for an instance may still be written to it. */
+    /** Returns whether a request for which an instance was chosen may still be written to it. */
     public boolean mayWrite(UpstreamId id, long now) {
         Instance instance = instances.get(id);
         return instance != null
@@ -277,63 +285,66 @@
                 && !backpressure.rests(id, now);
     }
 
-    /** Notes that a request that was about to be sent was not written. */
-    public void requestNotWritten(InFlightRequest sending, long now) {
-        backpressure.notWritten(sending.instance());
-        requestEnded(sending, now);
+    /** Records that a request counted as sent was not written after all. */
+    public void requestNotWritten(InFlightRequest inFlight, long now) {
+        backpressure.notWritten(inFlight.instance());
+        requestEnded(inFlight, now);
     }
 
-    /** Notes that a request has left an instance, however. */
-    public void requestEnded(InFlightRequest sending, long now) {
-        if (!sending.markEnded()) {
+    /** Records that a request has left its instance; further calls have no effect. */
+    public void requestEnded(InFlightRequest inFlight, long now) {
+        if (!inFlight.markEnded()) {
             return;
         }
-        InstanceLoad load = load(sending.instance());
-        if (sending.markAnswered()) {
-            load.responseStarted(sending.uncachedTokens(), sending.startedAt());
+        InstanceLoad load = load(inFlight.instance());
+        if (inFlight.markAnswered()) {
+            load.responseStarted(inFlight.uncachedTokens(), inFlight.startedAt());
             load.unservedRequestEnded();
-            backpressure.unanswered(sending.instance(), sending.startedAt());
+            backpressure.unanswered(inFlight.instance(), inFlight.startedAt());
         } else {
-            load.servedRequestEnded(now - sending.startedAt());
+            load.servedRequestEnded(now - inFlight.startedAt());
         }
     }
 
-    /** Notes that an instance has given a whole answer. */
+    /** Records that an instance has completed an answer. */
     public void requestSucceeded(UpstreamId id) {
         load(id).recordOutcome(true);
     }
 
-    /** Notes that an instance cannot be reached or breaks off. */
+    /** Records that an instance is unreachable or has broken off a connection. */
     public void connectionFailed(UpstreamId id, long now) {
         load(id).backOff(now);
         load(id).recordOutcome(false);
     }
 
-    /** Notes that an instance has answered a request with a failure of its own. */
+    /** Records that an instance has answered a request with an error of its own. */
     public void requestFailed(UpstreamId id) {
         load(id).recordOutcome(false);
     }
 
-    /** Takes in how many requests an instance runs and queues, for all hosts together. */
+    /** Records how many requests of all hosts an instance itself reports as running or queued. */
     public void updateReportedLoad(UpstreamId id, int runningAndWaiting, long now) {
         load(id).updateReported(runningAndWaiting, now);
     }
 
-    /** Takes in how many requests the other hosts have at each instance. */
+    /** Records how many requests the other hosts have at each instance. */
     public void updateRemoteRequests(Map<UpstreamId, Integer> work, long now) {
         for (UpstreamId id : instances.keySet()) {
             load(id).updateRemoteRequests(work.getOrDefault(id, 0), now);
         }
     }
 
-    /** Takes in how many tokens of the other hosts' prompts each instance has not read yet. */
+    /** Records how many prompt tokens of the other hosts each instance has yet to process. */
     public void updateRemoteUnreadTokens(Map<UpstreamId, Integer> tokens, long now) {
         for (UpstreamId id : instances.keySet()) {
             load(id).updateRemoteUnreadTokens(tokens.getOrDefault(id, 0), now);
         }
     }
 
-    /** Returns how many tokens of this host's prompts each instance has not read yet. */
+    /**
+     * Returns how many prompt tokens of this host each instance has yet to process; instances with
+     * none are left out.
+     */
     public Map<UpstreamId, Integer> unreadTokens() {
         Map<UpstreamId, Integer> all = new HashMap<>();
         loads.forEach(
@@ -345,7 +356,7 @@
         return all;
     }
 
-    /** Takes what this host has to tell of each instance since it told last. */
+    /** Returns the work of this host at each instance, and the answers since the last call. */
     public Map<UpstreamId, InstanceWork> takeWork() {
         Map<UpstreamId, InstanceWork> all = new HashMap<>();
         loads.forEach(
@@ -358,12 +369,15 @@
         return all;
     }
 
-    /** Returns requests that an instance runs or queues, as far as is known. */
+    /** Returns the estimated number of requests that an instance runs or queues, from all hosts. */
     public double occupancy(UpstreamId id, long now) {
         return load(id).occupancy(now);
     }
 
-    /** Nothing is kept of an instance that is not known, whose requests may still come back. */
+    /**
+     * Returns the load of an instance. Requests of an instance that is gone may still end; they get
+     * a load that is not stored.
+     */
     private InstanceLoad load(UpstreamId id) {
         return instances.containsKey(id)
                 ? loads.computeIfAbsent(id, key -> new InstanceLoad())
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/EngineSelector.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/EngineSelector.java
@@ -13,16 +13,23 @@
 import java.util.function.Function;
 import java.util.random.RandomGenerator;
 
-/** Picks an engine that holds what a request asks for, by what is still to be read there. */
+/**
+ * Picks an engine that holds the requested model, by the prompt tokens that it has yet to process.
+ */
 final class EngineSelector {
 
-    /** A running request slows a batch about as much as this many prompt tokens delay it once. */
+    /**
+     * A running request slows down a batch about as much as this many prompt tokens delay it once.
+     */
     private static final double TOKENS_PER_RUNNING = 60;
 
-    /** An instance in another zone is taken if it has this many prompt tokens less to read. */
+    /** An instance in another zone is chosen if it has this many fewer prompt tokens to process. */
     private static final double OTHER_ZONE_TOKENS = 150;
 
-    /** Without a first event for this long, an engine counts as silent while others answer. */
+    /**
+     * An engine without a first event for this long counts as silent, and is avoided while other
+     * engines answer.
+     */
     private static final long SILENCE_NANOS = Duration.ofMillis(1500).toNanos();
 
     private static final double FAILURE_WEIGHT = 6;
@@ -36,82 +43,85 @@
             ZoneId zone,
             RandomGenerator random,
             Function<UpstreamId, InstanceLoad> loads,
-            ResidencyEstimate belief) {
+            ResidencyEstimate residency) {
         this.zone = zone;
         this.random = random;
         this.loads = loads;
-        this.residency = belief;
+        this.residency = residency;
     }
 
     Choice select(
-            DispatchRequest asked, List<Instance> serving, EngineSpec engine, PrefillRate pace) {
-        ModelId model = asked.need().model().orElseThrow();
+            DispatchRequest request, List<Instance> serving, EngineSpec engine, PrefillRate rate) {
+        ModelId model = request.need().model().orElseThrow();
         List<Instance> holders = new ArrayList<>();
         for (Instance instance : serving) {
             boolean reported = instance.copyOf(model).isPresent();
-            if (reported && residency.holds(instance, model, Optional.empty(), true, asked.now())) {
+            if (reported
+                    && residency.holds(instance, model, Optional.empty(), true, request.now())) {
                 holders.add(instance);
             }
         }
         if (holders.isEmpty()) {
-            return modelMissing(model, serving, engine, asked.now());
+            return modelMissing(model, serving, engine, request.now());
         }
-        List<Instance> trusted =
+        List<Instance> responsive =
                 holders.stream()
-                        .filter(holder -> !isUnresponsive(holder.id(), asked.now()))
+                        .filter(holder -> !isUnresponsive(holder.id(), request.now()))
                         .toList();
-        return selectAmong(trusted.isEmpty() ? holders : trusted, asked, engine, pace);
+        return selectAmong(responsive.isEmpty() ? holders : responsive, request, engine, rate);
     }
 
     private Choice selectAmong(
-            List<Instance> holders, DispatchRequest asked, EngineSpec engine, PrefillRate pace) {
+            List<Instance> holders, DispatchRequest request, EngineSpec engine, PrefillRate rate) {
         Candidates ready = new Candidates();
-        Candidates lacking = new Candidates();
-        double placesPerSecond = 0;
+        Candidates withoutAdapter = new Candidates();
+        double total = 0;
         for (Instance instance : holders) {
             InstanceLoad load = loads.apply(instance.id());
-            placesPerSecond += requestsPerSecond(load, asked, engine, pace);
-            if (admits(load, asked, engine, pace)) {
-                Candidates those = hasAdapter(instance, asked) ? ready : lacking;
-                those.add(instance, score(instance, load, asked, pace), asked.suspect());
+            total += requestsPerSecond(load, request, engine, rate);
+            if (admits(load, request, engine, rate)) {
+                Candidates group = hasAdapter(instance, request) ? ready : withoutAdapter;
+                group.add(instance, score(instance, load, request, rate), request.suspect());
             }
         }
         if (!ready.isEmpty()) {
             return new Choice.Send(ready.lowestScore(random), "resident");
         }
-        if (!lacking.isEmpty()) {
-            return new Choice.AdapterMissing(lacking.lowestScore(random));
+        if (!withoutAdapter.isEmpty()) {
+            return new Choice.AdapterMissing(withoutAdapter.lowestScore(random));
         }
-        return new Choice.Full(placesPerSecond);
+        return new Choice.Full(total);
     }
 
     /**
-     * Many hosts with a few prompts each may fill an engine for seconds before one of them sees a
-     * slow answer: what they tell each other of unread prompts bounds them together.
+     * Returns whether an engine may get one more prompt from this host. Many hosts with a few
+     * prompts each could fill an engine for seconds before one of them notices a slow answer; the
+     * unread tokens that hosts report to each other bound them together.
      */
     private static boolean admits(
-            InstanceLoad load, DispatchRequest asked, EngineSpec engine, PrefillRate pace) {
-        long now = asked.now();
+            InstanceLoad load, DispatchRequest request, EngineSpec engine, PrefillRate rate) {
+        long now = request.now();
         return load.occupancy(now) < engine.slots()
-                && load.admitsPrompt(asked.isLate(), now)
-                && pace.meetsObjective(
-                        load.unreadTokens(pace, now),
-                        load.uncachedTokens(asked.need()),
-                        asked.objective(),
-                        asked.remaining());
+                && load.admitsPrompt(request.isLate(), now)
+                && rate.meetsObjective(
+                        load.unreadTokens(rate, now),
+                        load.uncachedTokens(request.need()),
+                        request.objective(),
+                        request.remaining());
     }
 
     /**
-     * Returns how many requests a second this host can send: by its own answers and slots, and by
-     * its share of what the engine reads. Without the last, requests that came to be refused for an
-     * overload had waited 4.6 s of 4.65, now 1.8 (replay, 16 hosts, 20 seeds).
+     * Returns how many requests per second this host can send to an engine, limited by its own
+     * answers and slots, and by its share of the engine's prompt processing rate. Without the
+     * latter, requests that were refused in an overload had waited 4.6 s of 4.65 s, now 1.8 s
+     * (simulation with 16 hosts, 20 seeds).
      */
     private static double requestsPerSecond(
-            InstanceLoad load, DispatchRequest asked, EngineSpec engine, PrefillRate pace) {
-        double read =
-                pace.promptsPerSecond(asked.need().promptTokens())
-                        * load.shareOfUnread(pace, asked.need().promptTokens(), asked.now());
-        return Math.min(load.requestsPerSecond(engine.slots(), asked.now()), read);
+            InstanceLoad load, DispatchRequest request, EngineSpec engine, PrefillRate rate) {
+        double prefill =
+                rate.promptsPerSecond(request.need().promptTokens())
+                        * load.shareOfUnread(rate, request.need().promptTokens(), request.now());
+        return Math.min(load.requestsPerSecond(engine.slots(), request.now()), prefill);
     }
 
     private boolean isUnresponsive(UpstreamId id, long now) {
@@ -138,23 +148,24 @@
     }
 
     private double score(
-            Instance instance, InstanceLoad load, DispatchRequest asked, PrefillRate pace) {
-        double tokens = load.unreadTokens(pace, asked.now()) + load.uncachedTokens(asked.need());
-        tokens += TOKENS_PER_RUNNING * load.occupancy(asked.now());
+            Instance instance, InstanceLoad load, DispatchRequest request, PrefillRate rate) {
+        double tokens =
+                load.unreadTokens(rate, request.now()) + load.uncachedTokens(request.need());
+        tokens += TOKENS_PER_RUNNING * load.occupancy(request.now());
         tokens += instance.zone().equals(zone) ? 0 : OTHER_ZONE_TOKENS;
         return tokens * (1 + FAILURE_WEIGHT * load.failureShare());
     }
 
-    private boolean hasAdapter(Instance instance, DispatchRequest asked) {
-        Optional<String> adapter = asked.need().adapter();
+    private boolean hasAdapter(Instance instance, DispatchRequest request) {
+        Optional<String> adapter = request.need().adapter();
         if (adapter.isEmpty()) {
             return true;
         }
-        ModelId model = asked.need().model().orElseThrow();
+        ModelId model = request.need().model().orElseThrow();
         boolean reported =
                 instance.copyOf(model)
                         .filter(copy -> copy.adapters().contains(adapter.get()))
                         .isPresent();
-        return residency.holds(instance, model, adapter, reported, asked.now());
+        return residency.holds(instance, model, adapter, reported, request.now());
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/InFlightRequest.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/InFlightRequest.java
@@ -2,7 +2,7 @@
 
 import io.stackhall.core.id.UpstreamId;
 
-/** One request on its way to or at an instance. */
+/** A request that is being sent to, or is running at, an instance. */
 public final class InFlightRequest {
 
     private final UpstreamId instance;
@@ -13,49 +13,53 @@
     private boolean answered;
     private boolean ended;
 
-    InFlightRequest(UpstreamId instance, Need need, long tokens, boolean alone, long startedAt) {
+    InFlightRequest(
+            UpstreamId instance,
+            Need need,
+            long uncachedTokens,
+            boolean nothingUnread,
+            long startedAt) {
         this.instance = instance;
         this.need = need;
-        this.uncachedTokens = tokens;
-        this.nothingUnread = alone;
+        this.uncachedTokens = uncachedTokens;
+        this.nothingUnread = nothingUnread;
         this.startedAt = startedAt;
     }
 
-    /** Returns the instance. */
     public UpstreamId instance() {
         return instance;
     }
 
-    /** Returns what the request needs. */
     public Need need() {
         return need;
     }
 
-    /** Returns when it was sent, on the monotonic clock in nanoseconds. */
+    /** Returns when the request was sent, on the monotonic clock in nanoseconds. */
     public long startedAt() {
         return startedAt;
     }
 
-    /** Returns the prompt tokens that the instance was expected to read. */
+    /** Returns the prompt tokens that the instance was expected to process. */
     long uncachedTokens() {
         return uncachedTokens;
     }
 
     /**
-     * Returns whether the instance had nothing else to read when it was sent, as far as is known.
+     * Returns whether the instance had no other prompt to process when the request was sent, as far
+     * as is known.
      */
     boolean nothingUnread() {
         return nothingUnread;
     }
 
-    /** Returns whether this is the first mark. */
+    /** Marks the request as answered, and returns whether it was not marked before. */
     boolean markAnswered() {
         boolean first = !answered;
         answered = true;
         return first;
     }
 
-    /** Returns whether this is the first mark. */
+    /** Marks the request as ended, and returns whether it was not marked before. */
     boolean markEnded() {
         boolean first = !ended;
         ended = true;
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/InstanceLoad.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/InstanceLoad.java
@@ -6,38 +6,49 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What this host knows of the work on one instance: its own exactly, that of others as told. */
+/**
+ * The work on one instance: exact for the requests of this host, and as last reported for those of
+ * other hosts.
+ */
 final class InstanceLoad {
 
     private static final long INITIAL_BACKOFF_NANOS = Duration.ofMillis(800).toNanos();
     private static final long MAX_BACKOFF_NANOS = Duration.ofSeconds(4).toNanos();
 
-    /** Told loads count half after this time: they describe others' work, which comes and goes. */
+    /**
+     * Half-life of a reported load, since it describes requests of other hosts, which come and go.
+     */
     private static final long REPORT_HALF_LIFE_NANOS = Duration.ofSeconds(1).toNanos();
 
-    /** So short that the window alone decides until the first answers tell. */
+    /**
+     * Initial mean duration of a request: so short that only the prompt window counts until the
+     * first answers.
+     */
     private static final double INITIAL_DURATION_NANOS = Duration.ofMillis(100).toNanos();
 
-    /** One in this many requests counts in the mean time that they stay. */
+    /** The mean duration weights each new request by one over this number. */
     private static final double DURATION_MEMORY = 16;
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** One in this many words counts in the mean of what others have here. */
+    /** The mean of the requests of other hosts weights each new report by one over this number. */
     private static final int REMOTE_MEMORY = 16;
 
     /**
-     * What is told of others' requests is half forgotten after this share of the time that a
-     * request stays: by then they have come and gone. Held for longer, a word sends all hosts that
-     * heard it to the same instance: with 89 hosts at 84% of three instances 88.2% of the requests
-     * were in time, now 94.0% (replay of clumps, 20 seeds).
+     * Half-life of the reported requests of other hosts, as a share of the mean duration of a
+     * request: by then they have come and gone. With a longer half-life, one report sends all hosts
+     * that received it to the same instance: with 89 hosts at 84% load of three instances 88.2% of
+     * the requests met their objective, now 94.0% (simulation of batched arrivals, 20 seeds).
      */
     private static final double REMOTE_HALF_LIFE_SHARE = 0.25;
 
-    /** One in this many outcomes counts in the share of failures. */
+    /** The failure share weights each new outcome by one over this number. */
     private static final double FAILURE_MEMORY = 8;
 
-    /** Prompt parts remembered for each instance: a few thousand tokens each fill its memory. */
+    /**
+     * Prompt parts remembered for each instance: its cache is full after as many parts of a few
+     * thousand tokens.
+     */
     private static final int REMEMBERED_PARTS = 256;
 
     private final Deque<Long> unanswered = new ArrayDeque<>();
@@ -74,9 +85,9 @@
     }
 
     /**
-     * Notes the first event of a request.
+     * Records the first event of a request.
      *
-     * @param objective the shortest of those who ask the instance
+     * @param objective the shortest latency objective of the routes that lead to the instance
      */
     void recordFirstEvent(long startedAt, long now, Duration objective) {
         promptWindow.recordFirstEvent(now - startedAt, objective);
@@ -84,7 +95,7 @@
         slowAnswers += PromptWindow.isSlow(now - startedAt, objective) ? 1 : 0;
     }
 
-    /** Takes what there is to tell other hosts. */
+    /** Returns the work to report to other hosts, and resets the counts of answers. */
     InstanceWork takeWork() {
         InstanceWork work = new InstanceWork(running, answers, slowAnswers);
         answers = 0;
@@ -93,17 +104,17 @@
     }
 
     /**
-     * Returns whether one more prompt may be sent before those sent are read.
+     * Returns whether one more prompt may be sent while earlier ones are still being processed.
      *
-     * @param late whether its answer can only be late
+     * @param late whether its answer can no longer meet the latency objective
      */
     boolean admitsPrompt(boolean late, long now) {
         return promptWindow.admits(unanswered.size(), late, now - lastSentAt);
     }
 
     /**
-     * Returns how many requests a second this host can send here: what its window allows, or its
-     * share of the slots that come free, whichever is less.
+     * Returns how many requests per second this host can send to the instance: the smaller of what
+     * its prompt window allows and its share of the slots that become free.
      */
     double requestsPerSecond(int slots, long now) {
         double share = Math.max(1, running) / Math.max(1, occupancy(now));
@@ -111,67 +122,78 @@
         return Math.min(promptWindow.promptsPerSecond(), freed);
     }
 
+    /** Removes the prompt of a request from those that the instance has yet to process. */
     void responseStarted(long tokens, long startedAt) {
         ownUnreadTokens = Math.max(0, ownUnreadTokens - tokens);
         unanswered.removeFirstOccurrence(startedAt);
     }
 
-    /** Notes that a request has left that was not served. */
+    /** Records that a request has ended which the instance did not serve. */
     void unservedRequestEnded() {
         running = Math.max(0, running - 1);
     }
 
     /**
-     * Notes that a request has left that was served.
+     * Records that a request has ended which the instance served.
      *
-     * @param nanos how long it was here
+     * @param nanos the time that it spent at the instance
      */
     void servedRequestEnded(long nanos) {
         unservedRequestEnded();
         meanDurationNanos += (nanos - meanDurationNanos) / DURATION_MEMORY;
     }
 
-    /** Takes in the instance's own word, which counts all hosts' requests. */
+    /**
+     * Records the load that the instance itself reports, which includes the requests of all hosts.
+     */
     void updateReported(int runningAndWaiting, long now) {
-        remoteRequests(Math.max(0, runningAndWaiting - running));
+        setRemoteRequests(Math.max(0, runningAndWaiting - running));
         remoteRequestsAt = now;
         selfReported = true;
     }
 
-    /** Takes in what other hosts say of their requests, unless the instance has told of late. */
+    /**
+     * Records the requests that other hosts report, unless the instance itself has reported its
+     * load recently.
+     */
     void updateRemoteRequests(int requests, long now) {
         if (selfReported && now - remoteRequestsAt < REPORT_HALF_LIFE_NANOS) {
             return;
         }
-        remoteRequests(requests);
+        setRemoteRequests(requests);
         remoteRequestsAt = now;
         selfReported = false;
     }
 
-    /** Returns this host's share of what there is to read, one prompt more of its own included. */
-    double shareOfUnread(PrefillRate pace, long tokens, long now) {
+    /** Returns this host's share of the unread tokens, with one more prompt of its own included. */
+    double shareOfUnread(PrefillRate rate, long tokens, long now) {
         double own = ownUnreadTokens + Math.max(1, tokens);
-        return own / (unreadTokens(pace, now) + Math.max(1, tokens));
+        return own / (unreadTokens(rate, now) + Math.max(1, tokens));
     }
 
-    private void remoteRequests(double told) {
-        remoteRequests = told;
+    private void setRemoteRequests(double reported) {
+        remoteRequests = reported;
         remoteUpdates++;
-        meanRemoteRequests += (told - meanRemoteRequests) / Math.min(remoteUpdates, REMOTE_MEMORY);
+        meanRemoteRequests +=
+                (reported - meanRemoteRequests) / Math.min(remoteUpdates, REMOTE_MEMORY);
     }
 
-    /** Takes in how many tokens of their prompts other hosts have here that are not read yet. */
+    /** Records how many prompt tokens of other hosts the instance has yet to process. */
     void updateRemoteUnreadTokens(long tokens, long now) {
         remoteUnreadTokens = tokens;
         remoteUnreadAt = now;
     }
 
-    /** Returns the tokens of all hosts' prompts that are not read yet, as far as is known. */
-    double unreadTokens(PrefillRate pace, long now) {
-        double readSince = remoteUnreadTokens == 0 ? 0 : pace.tokensIn(now - remoteUnreadAt);
+    /**
+     * Returns the estimated number of prompt tokens of all hosts that the instance has yet to
+     * process.
+     */
+    double unreadTokens(PrefillRate rate, long now) {
+        double readSince = remoteUnreadTokens == 0 ? 0 : rate.tokensIn(now - remoteUnreadAt);
         return ownUnreadTokens + Math.max(0, remoteUnreadTokens - readSince);
     }
 
+    /** Excludes the instance for a period that doubles with each consecutive failure. */
     void backOff(long now) {
         consecutiveFailures++;
         long period = INITIAL_BACKOFF_NANOS << Math.min(consecutiveFailures - 1, 3);
@@ -183,8 +205,8 @@
         backoffUntil = 0;
     }
 
-    void recordOutcome(boolean good) {
-        double sample = good ? 0 : 1;
+    void recordOutcome(boolean success) {
+        double sample = success ? 0 : 1;
         failureShare += (sample - failureShare) / FAILURE_MEMORY;
     }
 
@@ -192,7 +214,7 @@
         return backoffUntil != 0 && now - backoffUntil < 0;
     }
 
-    /** Returns whether a request has waited for an answer for longer than a time. */
+    /** Returns whether a request has waited for its first answer for longer than the given time. */
     boolean isSilentFor(long nanos, long now) {
         return !unanswered.isEmpty() && now - unanswered.peekFirst() > nanos;
     }
@@ -206,8 +228,8 @@
     }
 
     /**
-     * Returns how many requests are here if others come and go as they use to: what was told last
-     * counts less and less beside their mean.
+     * Returns the expected number of requests of all hosts. The last report of other hosts decays
+     * towards their mean, since their requests come and go.
      */
     double expectedOccupancy(long now) {
         double halves = (now - remoteRequestsAt) / (REMOTE_HALF_LIFE_SHARE * meanDurationNanos);
@@ -228,7 +250,10 @@
         processedParts.put(part, now);
     }
 
-    /** Returns the tokens of a request's prompt that this host did not see read here. */
+    /**
+     * Returns the prompt tokens of a request that the instance still has to process: those after
+     * the leading parts that this host has seen it process before.
+     */
     long uncachedTokens(Need need) {
         long unread = need.promptTokens();
         for (PromptPart part : need.parts()) {
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/InstanceSelector.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/InstanceSelector.java
@@ -15,8 +15,8 @@
 import java.util.function.Predicate;
 
 /**
- * Decides where one request goes: to an instance that takes it at once where there is one, or else
- * to one that this host has to hold back from for a while.
+ * Decides where one request goes: to an instance that accepts it at once if there is one, else to
+ * an instance for whose limit or rest the request has to wait.
  */
 final class InstanceSelector {
 
@@ -28,18 +28,18 @@
 
     InstanceSelector(
             ServiceProfiles services,
-            ColdInstanceLimiter cold,
+            ColdInstanceLimiter coldLimiter,
             Backpressure backpressure,
             PlainServiceSelector plain,
-            EngineSelector holders) {
+            EngineSelector engines) {
         this.services = services;
-        this.coldLimiter = cold;
+        this.coldLimiter = coldLimiter;
         this.backpressure = backpressure;
         this.plain = plain;
-        this.engines = holders;
+        this.engines = engines;
     }
 
-    /** The instances that may get a request, by what keeps them from it. */
+    /** The instances that may get a request, grouped by what holds the request back from them. */
     private static final class Partition {
         private final List<Instance> serving = new ArrayList<>();
         private final List<Instance> lastResort = new ArrayList<>();
@@ -50,109 +50,120 @@
     }
 
     /**
-     * Decides.
+     * Decides where a request goes.
      *
-     * @param evacuated the zones whose instances get nothing
-     * @param allowed those that the request may be sent to
+     * @param evacuated the zones whose instances get no requests
+     * @param allowed the instances that the request may be sent to
      */
     Choice select(
-            DispatchRequest asked,
+            DispatchRequest request,
             Collection<Instance> instances,
             EvacuatedZones evacuated,
             Predicate<UpstreamId> allowed) {
-        Partition sorted = partition(asked, instances, evacuated, allowed);
-        Optional<Choice> now = selectServing(sorted, asked).or(() -> waitForTimeSlot(sorted));
-        Optional<Choice> later = orWaitForRestEnd(sorted.resting, now, asked);
-        Optional<Choice> decided = orWaitForPermit(sorted.limited, later, asked);
+        Partition partition = partition(request, instances, evacuated, allowed);
+        Optional<Choice> now =
+                selectServing(partition, request).or(() -> waitForTimeSlot(partition));
+        Optional<Choice> later = orWaitForRestEnd(partition.resting, now, request);
+        Optional<Choice> decided = orWaitForPermit(partition.limited, later, request);
         return decided.orElseGet(
-                () -> sorted.anyReady ? new Choice.AllTried() : new Choice.NobodyServes());
+                () -> partition.anyReady ? new Choice.AllTried() : new Choice.NobodyServes());
     }
 
     private Partition partition(
-            DispatchRequest asked,
+            DispatchRequest request,
             Collection<Instance> instances,
             EvacuatedZones evacuated,
             Predicate<UpstreamId> allowed) {
-        Partition sorted = new Partition();
-        double bearsCold = services.coldRequestsPerSecond(asked.need().service());
+        Partition partition = new Partition();
+        double coldPerSecond = services.coldRequestsPerSecond(request.need().service());
         for (Instance instance : instances) {
             boolean fits =
                     instance.state() == InstanceState.READY
                             && !evacuated.contains(instance.zone())
-                            && instance.service().equals(asked.need().service());
-            sorted.anyReady |= fits;
+                            && instance.service().equals(request.need().service());
+            partition.anyReady |= fits;
             if (!fits || !allowed.test(instance.id())) {
                 continue;
             }
-            if (!coldLimiter.allows(instance.id(), bearsCold, asked.now())) {
-                sorted.coldLimited = true;
+            if (!coldLimiter.allows(instance.id(), coldPerSecond, request.now())) {
+                partition.coldLimited = true;
                 continue;
             }
-            switch (backpressure.hold(instance.id(), asked.now())) {
-                case NONE -> sorted.serving.add(instance);
-                case COMES_LAST -> sorted.lastResort.add(instance);
-                case LIMIT -> sorted.limited.add(instance);
-                case REST -> sorted.resting.add(instance);
+            switch (backpressure.hold(instance.id(), request.now())) {
+                case NONE -> partition.serving.add(instance);
+                case COMES_LAST -> partition.lastResort.add(instance);
+                case LIMIT -> partition.limited.add(instance);
+                case REST -> partition.resting.add(instance);
             }
         }
-        return sorted;
+        return partition;
     }
 
-    /** A cold instance takes a request as soon as this host has its turn there. */
-    private static Optional<Choice> waitForTimeSlot(Partition sorted) {
-        return sorted.coldLimited ? Optional.of(new Choice.Full(0)) : Optional.empty();
+    /**
+     * Waits for a slot if a cold instance is available, which accepts a request in the next time
+     * slot of this host.
+     */
+    private static Optional<Choice> waitForTimeSlot(Partition partition) {
+        return partition.coldLimited ? Optional.of(new Choice.Full(0)) : Optional.empty();
     }
 
-    /** Decides among those that may be sent to at once. */
-    private Optional<Choice> selectServing(Partition sorted, DispatchRequest asked) {
-        Optional<Choice> first = selectAmong(sorted.serving, asked);
-        if (sorted.lastResort.isEmpty()
+    /**
+     * Decides among the instances that may be sent a request at once; those that rejected the last
+     * one are only considered when no other can take it.
+     */
+    private Optional<Choice> selectServing(Partition partition, DispatchRequest request) {
+        Optional<Choice> first = selectAmong(partition.serving, request);
+        if (partition.lastResort.isEmpty()
                 || first.filter(Choice.Send.class::isInstance).isPresent()) {
             return first;
         }
-        List<Instance> all = new ArrayList<>(sorted.serving);
-        all.addAll(sorted.lastResort);
-        return selectAmong(all, asked);
+        List<Instance> all = new ArrayList<>(partition.serving);
+        all.addAll(partition.lastResort);
+        return selectAmong(all, request);
     }
 
-    private Optional<Choice> selectAmong(List<Instance> instances, DispatchRequest asked) {
+    private Optional<Choice> selectAmong(List<Instance> instances, DispatchRequest request) {
         if (instances.isEmpty()) {
             return Optional.empty();
         }
-        Optional<EngineSpec> engine = services.engine(asked.need().service());
-        if (asked.need().model().isEmpty() || engine.isEmpty()) {
-            return Optional.of(plain.select(instances, asked.suspect(), asked.now()));
+        Optional<EngineSpec> engine = services.engine(request.need().service());
+        if (request.need().model().isEmpty() || engine.isEmpty()) {
+            return Optional.of(plain.select(instances, request.suspect(), request.now()));
         }
-        PrefillRate pace = services.prefillRate(asked.need().service());
-        return Optional.of(engines.select(asked, instances, engine.get(), pace));
+        PrefillRate rate = services.prefillRate(request.need().service());
+        return Optional.of(engines.select(request, instances, engine.get(), rate));
     }
 
-    private boolean canSendTo(Instance instance, DispatchRequest asked) {
-        return selectAmong(List.of(instance), asked)
+    private boolean canSendTo(Instance instance, DispatchRequest request) {
+        return selectAmong(List.of(instance), request)
                 .filter(Choice.Send.class::isInstance)
                 .isPresent();
     }
 
     /**
-     * Decides about instances that want rest: a request that another one takes, now or once it has
-     * the adapter, goes there, any other may wait for the first rest that ends.
+     * Adds the instances that have asked this host for a rest. A request that another instance
+     * takes, now or once it has loaded the adapter, goes there; any other may wait for the first
+     * rest that ends.
      *
-     * @param otherwise what becomes of it without them
+     * @param otherwise the choice without the resting instances
      */
     private Optional<Choice> orWaitForRestEnd(
-            List<Instance> resting, Optional<Choice> otherwise, DispatchRequest asked) {
+            List<Instance> resting, Optional<Choice> otherwise, DispatchRequest request) {
         if (resting.isEmpty() || otherwise.filter(InstanceSelector::isServed).isPresent()) {
             return otherwise;
         }
         return resting.stream()
-                .filter(one -> canSendTo(one, asked))
-                .min(Comparator.comparing(one -> remainingRest(one, asked)))
-                .<Choice>map(one -> new Choice.Resting(one, remainingRest(one, asked), otherwise))
-                .or(() -> otherwise.or(() -> selectAmong(resting, asked)));
+                .filter(instance -> canSendTo(instance, request))
+                .min(Comparator.comparing(instance -> remainingRest(instance, request)))
+                .<Choice>map(
+                        instance ->
+                                new Choice.Resting(
+                                        instance, remainingRest(instance, request), otherwise))
+                .or(() -> otherwise.or(() -> selectAmong(resting, request)));
     }
 
-    private Duration remainingRest(Instance resting, DispatchRequest asked) {
-        return backpressure.restLeft(resting.id(), asked.now());
+    private Duration remainingRest(Instance resting, DispatchRequest request) {
+        return backpressure.restLeft(resting.id(), request.now());
     }
 
     private static boolean isServed(Choice choice) {
@@ -160,38 +171,41 @@
     }
 
     /**
-     * Decides about instances that could be sent nothing without a permit: a request that another
-     * one takes goes there at once, any other waits for the permit.
+     * Adds the instances that need a permit. A request that another instance takes goes there at
+     * once; any other waits for the permit.
      *
-     * @param otherwise what becomes of it without them
+     * @param otherwise the choice without the limited instances
      */
     private Optional<Choice> orWaitForPermit(
-            List<Instance> limited, Optional<Choice> otherwise, DispatchRequest asked) {
+            List<Instance> limited, Optional<Choice> otherwise, DispatchRequest request) {
         if (limited.isEmpty()
                 || otherwise.filter(Choice.AdapterMissing.class::isInstance).isPresent()) {
             return otherwise;
         }
         if (otherwise.filter(Choice.Send.class::isInstance).isPresent()) {
-            requestSparePermits(limited, asked);
+            requestSparePermits(limited, request);
             return otherwise;
         }
-        return switch (selectAmong(limited, asked).orElseThrow()) {
+        return switch (selectAmong(limited, request).orElseThrow()) {
             case Choice.Send(Instance instance, String why) ->
                     Optional.of(
                             new Choice.Limited(
                                     instance,
-                                    backpressure.awaitPermit(instance.id(), asked.now()),
+                                    backpressure.awaitPermit(instance.id(), request.now()),
                                     otherwise));
             case Choice.AdapterMissing missing -> Optional.of(missing);
             case Choice other -> otherwise.isPresent() ? otherwise : Optional.of(other);
         };
     }
 
-    /** Only an answer can tell that a limit has ended, so that those with one are tried too. */
-    private void requestSparePermits(List<Instance> limited, DispatchRequest asked) {
+    /**
+     * Asks for permits beyond what is needed, since only an answer from a limited instance can show
+     * that its limit has ended.
+     */
+    private void requestSparePermits(List<Instance> limited, DispatchRequest request) {
         limited.stream()
-                .filter(one -> backpressure.spareDue(one.id(), asked.now()))
-                .filter(one -> canSendTo(one, asked))
-                .forEach(one -> backpressure.spare(one.id(), asked.now()));
+                .filter(instance -> backpressure.spareDue(instance.id(), request.now()))
+                .filter(instance -> canSendTo(instance, request))
+                .forEach(instance -> backpressure.spare(instance.id(), request.now()));
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/InstanceWork.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/InstanceWork.java
@@ -1,29 +1,33 @@
 package io.stackhall.core.dispatch;
 
 /**
- * What one host has at an instance, and what has come of it lately.
+ * The requests of one host at an instance, and its recent answers.
  *
- * @param requests requests that are there
- * @param answered requests whose first event has come since the last report
- * @param slow how many of these took so long that the next one will be late
+ * @param requests the number of requests at the instance
+ * @param answered the number of requests whose first event has arrived since the last report
+ * @param slow how many of those took so long that the next one will miss its latency objective
  */
 public record InstanceWork(int requests, int answered, int slow) {
 
-    /** Checks that nothing is negative. */
     public InstanceWork {
         if (requests < 0 || answered < 0 || slow < 0) {
             throw new IllegalArgumentException(
-                    "negative work: " + requests + ", " + answered + ", " + slow);
+                    "negative count: requests="
+                            + requests
+                            + ", answered="
+                            + answered
+                            + ", slow="
+                            + slow);
         }
     }
 
-    /** Returns both together. */
+    /** Returns the sum of both. */
     public InstanceWork plus(InstanceWork other) {
         return new InstanceWork(
                 requests + other.requests, answered + other.answered, slow + other.slow);
     }
 
-    /** Returns whether there is nothing to tell. */
+    /** Returns whether there is nothing to report. */
     boolean isNothing() {
         return requests == 0 && answered == 0;
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/Need.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/Need.java
@@ -9,12 +9,12 @@
  * What a request needs of an instance.
  *
  * @param service the service that its route leads to
- * @param model the model asked for, if its service runs models
- * @param adapter the adapter of that model, if one is asked for
+ * @param model the requested model, if the service runs models
+ * @param adapter the requested adapter of that model, if any
  * @param parts the parts of its prompt, in order
- * @param promptTokens the length of its prompt
- * @param answerTokens the most tokens of its answer
- * @param rank how urgent it is, 0 first
+ * @param promptTokens the length of its prompt in tokens
+ * @param answerTokens the maximum number of tokens of its answer
+ * @param rank its priority, 0 being the most urgent
  */
 public record Need(
         ServiceName service,
@@ -25,7 +25,6 @@
         int answerTokens,
         int rank) {
 
-    /** Copies the parts. */
     public Need {
         parts = List.copyOf(parts);
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/PlainServiceSelector.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/PlainServiceSelector.java
@@ -10,16 +10,22 @@
 import java.util.function.Function;
 import java.util.random.RandomGenerator;
 
-/** Picks an instance of a service that runs no models, by how full each is. */
+/** Picks an instance of a service that runs no models, by its occupancy. */
 final class PlainServiceSelector {
 
-    /** An instance in another zone counts as holding this many requests more. */
+    /** An instance in another zone counts as if it had this many more requests. */
     private static final double OTHER_ZONE_REQUESTS = 0.3;
 
-    /** Without an answer for this long, an instance counts as silent while others answer. */
+    /**
+     * An instance without an answer for this long counts as silent, and is avoided while other
+     * instances answer.
+     */
     private static final long SILENCE_NANOS = Duration.ofMillis(600).toNanos();
 
-    /** An instance queues a few requests beyond its slots. */
+    /**
+     * An instance gets up to this many times its slots in requests, as it queues a few beyond its
+     * slots.
+     */
     private static final double QUEUE_SHARE = 2.0;
 
     private static final double SILENT_PENALTY = 1e6;
@@ -36,12 +42,12 @@
         this.loads = loads;
     }
 
-    Choice select(List<Instance> serving, Optional<RequestDigest> apart, long now) {
+    Choice select(List<Instance> serving, Optional<RequestDigest> suspect, long now) {
         Candidates candidates = new Candidates();
         for (Instance instance : serving) {
             InstanceLoad load = loads.apply(instance.id());
             if (load.expectedOccupancy(now) < instance.slots() * QUEUE_SHARE) {
-                candidates.add(instance, score(instance, load, now), apart);
+                candidates.add(instance, score(instance, load, now), suspect);
             }
         }
         return candidates.isEmpty()
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/PromptPart.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/PromptPart.java
@@ -1,9 +1,9 @@
 package io.stackhall.core.dispatch;
 
 /**
- * One part of a prompt that other prompts may share.
+ * A part of a prompt that other prompts may share.
  *
- * @param id names its text
- * @param tokens its length
+ * @param id identifies the text of the part
+ * @param tokens its length in tokens
  */
 public record PromptPart(String id, int tokens) {}
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/ReportAggregator.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/ReportAggregator.java
@@ -7,14 +7,14 @@
 import java.util.TreeMap;
 
 /**
- * The reports of the entry hosts that have this control host as their primary, added up for the
- * other control hosts: they take one report where they took one from each entry host.
+ * Aggregates the reports of the entry hosts whose primary is this control host, for the other
+ * control hosts, which then receive one report instead of one from each entry host.
  *
- * <p>Requests that are at an instance or wait are counts of now, of which the latest report of a
- * host stands; answers and arrivals are counts since the last report, each of which is passed on
- * once.
+ * <p>The requests at an instance and the waiting requests are gauges, of which the latest value of
+ * each host counts. Answers and arrivals are increments since the last report, each of which is
+ * passed on once.
  *
- * <p>Not thread-safe: one thread uses it.
+ * <p>Not thread-safe: used by one thread.
  */
 public final class ReportAggregator {
 
@@ -28,10 +28,10 @@
     private record HostDemand(Map<String, Demand> demand, long at) {}
 
     /**
-     * How a model or adapter is asked for.
+     * The demand for a model or an adapter.
      *
-     * @param arrivals requests since the last report
-     * @param waiting requests that wait for it now
+     * @param arrivals the number of requests since the last report
+     * @param waiting the number of requests that wait for it now
      */
     public record Demand(int arrivals, int waiting) {
 
@@ -40,14 +40,14 @@
         }
     }
 
-    /** Takes in how many entry hosts there are, by which reports come more or less often. */
+    /** Sets the number of entry hosts, which determines the lifetime of a report. */
     public void setHostCount(int hosts) {
         requestReports.setHostCount(hosts);
         unreadReports.setHostCount(hosts);
         lifetimeNanos = new ReportTiming(hosts).lifetime().toNanos();
     }
 
-    /** Takes in what a host says of its requests at instances. */
+    /** Adds the work that a host reports at instances. */
     public void addWork(HostId host, Map<UpstreamId, InstanceWork> work, long now) {
         Map<UpstreamId, Integer> requests = new HashMap<>();
         work.forEach(
@@ -58,18 +58,18 @@
         requestReports.put(host, requests, now);
     }
 
-    /** Takes in how many tokens of a host's prompts each instance has not read yet. */
+    /** Adds how many prompt tokens of a host each instance has yet to process. */
     public void addUnreadTokens(HostId host, Map<UpstreamId, Integer> tokens, long now) {
         unreadReports.put(host, tokens, now);
     }
 
-    /** Takes in what a host is asked for, by the names of models and adapters. */
+    /** Adds the demand that a host reports, by the names of models and adapters. */
     public void addDemand(HostId host, Map<String, Demand> asked, long now) {
         waiting.put(host, new HostDemand(Map.copyOf(asked), now));
         asked.forEach((name, one) -> arrivals.merge(name, one.arrivals(), Integer::sum));
     }
 
-    /** Takes the sum of the requests at each instance, and the answers since it was taken last. */
+    /** Returns the requests at each instance, and the answers since the last call. */
     public Map<UpstreamId, InstanceWork> takeWork(long now) {
         Map<UpstreamId, InstanceWork> sum = new HashMap<>(answers);
         answers.clear();
@@ -80,7 +80,7 @@
         return sum;
     }
 
-    /** Returns the sum of the tokens that are to be read at each instance. */
+    /** Returns the prompt tokens that each instance has yet to process. */
     public Map<UpstreamId, Integer> unreadTokens(long now) {
         return unreadReports.sum(now);
     }
@@ -89,7 +89,10 @@
         sum.merge(id, work, InstanceWork::plus);
     }
 
-    /** Takes the sum of what waits, and the arrivals since it was taken last. */
+    /**
+     * Returns the waiting requests, and the arrivals since the last call, by the names of models
+     * and adapters.
+     */
     public Map<String, Demand> takeDemand(long now) {
         waiting.values().removeIf(host -> now - host.at() > lifetimeNanos);
         Map<String, Demand> sum = new TreeMap<>();
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/ReportTiming.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/ReportTiming.java
@@ -3,33 +3,33 @@
 import java.time.Duration;
 
 /**
- * How often each entry host tells the control hosts of its work, and is told that of the others.
+ * The interval at which each entry host reports its work to the control hosts and receives that of
+ * the others, and the lifetime of such a report.
  *
- * <p>The load that it answers: every entry host tells every control host, so that frames grow with
- * the number of entry hosts while what each of them has to say shrinks. At a fixed interval of 150
- * ms a control host with 95 entry hosts takes 633 frames a second; at 5 ms a host it takes 200
- * however many there are, and with 30 hosts or fewer nothing changes.
+ * <p>Every entry host reports to every control host, so the number of frames grows with the number
+ * of entry hosts while each of them has less to report. At a fixed interval of 150 ms a control
+ * host with 95 entry hosts receives 633 frames per second. With 5 ms per host it receives 200,
+ * however many hosts there are; with 30 hosts or fewer nothing changes.
  *
- * @param hosts how many entry hosts there are
+ * @param hosts the number of entry hosts
  */
 public record ReportTiming(int hosts) {
 
-    /** Ten of the 1.5 s that a request stays at an engine. */
+    /** Ten reports in the 1.5 s that a request stays at an engine. */
     private static final Duration MIN_INTERVAL = Duration.ofMillis(150);
 
-    /** A control host takes 200 reports a second at most, a tenth of a small processor. */
+    /** Limits a control host to 200 reports per second, which take a tenth of a small processor. */
     private static final Duration INTERVAL_PER_HOST = Duration.ofMillis(5);
 
-    /** A host whose last word is older than this many intervals is cut off. */
+    /** A host whose last report is older than this many intervals counts as cut off. */
     private static final int INTERVALS_UNTIL_SILENT = 3;
 
-    /** Where there are few hosts, reports come several times within this. */
+    /** Minimum lifetime, which covers several reports when there are few hosts. */
     private static final Duration MIN_LIFETIME = Duration.ofSeconds(1);
 
-    /** Checks the number. */
     public ReportTiming {
         if (hosts < 0) {
-            throw new IllegalArgumentException("there cannot be " + hosts + " hosts");
+            throw new IllegalArgumentException("negative number of hosts: " + hosts);
         }
     }
 
@@ -38,7 +38,7 @@
         return max(MIN_INTERVAL, INTERVAL_PER_HOST.multipliedBy(hosts));
     }
 
-    /** Returns how long a report counts. */
+    /** Returns how long a report is valid. */
     public Duration lifetime() {
         return max(MIN_LIFETIME, interval().multipliedBy(INTERVALS_UNTIL_SILENT));
     }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/ResidencyEstimate.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/ResidencyEstimate.java
@@ -9,28 +9,31 @@
 import java.util.Optional;
 
 /**
- * What instances hold or load beyond what their last reports say, as control hosts and refusals
- * have told.
+ * The models and adapters that instances hold or load beyond their last reports, known from notices
+ * of control hosts and from rejected requests.
  */
 final class ResidencyEstimate {
 
-    /** A report made before something was unloaded arrives within two heartbeats. */
+    /**
+     * Validity of the information that something was unloaded: a report from before the unload
+     * arrives within two heartbeats.
+     */
     private static final long UNLOAD_OVERRIDE_NANOS = Duration.ofMillis(2500).toNanos();
 
-    /** A load that is later than this has failed. */
+    /** A load that is overdue by this much has failed. */
     private static final long LOAD_GRACE_NANOS = Duration.ofSeconds(2).toNanos();
 
     private final Map<UpstreamId, Map<ModelOrAdapter, ResidencyOverride>> overrides =
             new HashMap<>();
     private final Map<UpstreamId, PendingLoad> pendingLoads = new HashMap<>();
 
-    /** A model, or an adapter of it, that an instance may hold. */
+    /** A model, or one of its adapters, that an instance may hold. */
     private record ModelOrAdapter(ModelId model, Optional<String> adapter) {}
 
-    /** What was said of a holding, and when. */
+    /** Whether an instance holds something according to a notice, and when it was received. */
     private record ResidencyOverride(boolean resident, long at) {}
 
-    /** A load that is under way, and when it should be done. */
+    /** A load in progress, and when it should be complete. */
     private record PendingLoad(ModelId model, long dueAt) {}
 
     /** Forgets an instance that is gone. */
@@ -40,12 +43,13 @@
     }
 
     /**
-     * Takes in a report. What was said of a model is over once the reports show that it came or
-     * went. A model that was loaded again within 2.5 s of its unload was passed over until then: on
-     * one day of load an engine was ordered to load and unload two models 22 times in 18 s, while
-     * the requests that waited for them were refused (counted in the log).
+     * Updates the estimate after a report of an instance. Once reports show that a model has been
+     * loaded or unloaded, earlier notices about it are dropped. Otherwise a model that was loaded
+     * again within 2.5 s of its unload would be ignored until then: on one day of load an engine
+     * was ordered to load and unload two models 22 times in 18 s, while the requests that waited
+     * for them were refused (counted in the log).
      *
-     * @param before the report before, or null where there was none
+     * @param before the previous report, or null if there was none
      */
     void update(Instance before, Instance after) {
         PendingLoad load = pendingLoads.get(after.id());
@@ -58,12 +62,12 @@
         }
         here.keySet()
                 .removeIf(
-                        holding ->
-                                before.copyOf(holding.model()).isPresent()
-                                        != after.copyOf(holding.model()).isPresent());
+                        entry ->
+                                before.copyOf(entry.model()).isPresent()
+                                        != after.copyOf(entry.model()).isPresent());
     }
 
-    /** Notes what an instance holds now, or is about to hold no more. */
+    /** Records that an instance has loaded, or is about to unload, a model or an adapter. */
     void override(
             UpstreamId id, ModelId model, Optional<String> adapter, boolean resident, long now) {
         overrides
@@ -71,20 +75,26 @@
                 .put(new ModelOrAdapter(model, adapter), new ResidencyOverride(resident, now));
     }
 
-    /** Notes that an instance has begun to load a model. */
+    /** Records that an instance has started to load a model. */
     void loadStarted(UpstreamId id, ModelId model, Duration within, long now) {
         pendingLoads.put(id, new PendingLoad(model, now + within.toNanos()));
     }
 
-    /** Returns how much longer an instance loads a model, or the largest number if it does not. */
+    /**
+     * Returns the remaining time of a load in nanoseconds, or {@link Long#MAX_VALUE} if the
+     * instance does not load the model.
+     */
     long remainingLoadNanos(UpstreamId id, ModelId model, long now) {
         PendingLoad load = pendingLoads.get(id);
-        boolean comes =
+        boolean inProgress =
                 load != null && load.model().equals(model) && now - load.dueAt() < LOAD_GRACE_NANOS;
-        return comes ? Math.max(0, load.dueAt() - now) : Long.MAX_VALUE;
+        return inProgress ? Math.max(0, load.dueAt() - now) : Long.MAX_VALUE;
     }
 
-    /** What was said lately counts before what the instance reported, which may be older. */
+    /**
+     * Returns whether an instance holds a model or an adapter. Recent notices take precedence over
+     * the last report of the instance, which may be older.
+     */
     boolean holds(
             Instance instance,
             ModelId model,
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/RetryLimiter.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/RetryLimiter.java
@@ -8,17 +8,20 @@
 import java.util.Map;
 
 /**
- * Bounds how often one host sends requests for a service a second time, so that all hosts together
- * stay within their common bound for it without asking each other.
+ * Limits how often one host retries requests of a service, so that all hosts together stay within a
+ * common limit without coordination.
  *
- * <p>For each service a host allows itself a ratio of its own requests and its share of the common
- * slack. The shares are fixed, so that a lost host's share stays unused. Each service has a bound
- * of its own: by one for all, a small one in need would get as many resends as a busy one beside it
- * leaves unused.
+ * <p>For each service a host may retry a ratio of its own requests, plus its share of a common
+ * slack. The shares are fixed, so that the share of a failed host stays unused. Each service has
+ * its own limit: with one for all, a small service that fails would get the retries that a busy
+ * service next to it leaves unused.
  */
 public final class RetryLimiter {
 
-    /** Kept free for sends whose requests come to count in another window than their resends. */
+    /**
+     * Share of the allowance that is used; the rest covers requests that count in another window
+     * than their retries.
+     */
     private static final double USED_SHARE = 0.8;
 
     private final double ratio;
@@ -27,18 +30,18 @@
     private final Map<ServiceName, Window> windows = new HashMap<>();
     private int hosts;
 
-    /** When requests for one service came, and when some were sent again. */
+    /** The times at which requests for one service arrived, and at which some were retried. */
     private static final class Window {
         private final Deque<Long> requests = new ArrayDeque<>();
-        private final Deque<Long> resends = new ArrayDeque<>();
+        private final Deque<Long> retries = new ArrayDeque<>();
     }
 
     /**
-     * Creates an allowance.
+     * Creates a limiter.
      *
-     * @param ratio resends allowed for each request in a window
-     * @param commonSlack resends allowed beside, over all hosts
-     * @param hosts how many hosts share the slack, until more is known
+     * @param ratio retries allowed per request in a window
+     * @param commonSlack additional retries allowed over all hosts
+     * @param hosts the number of hosts that share the slack, until more are seen
      * @param window the length of a window
      */
     public RetryLimiter(double ratio, double commonSlack, int hosts, Duration window) {
@@ -48,31 +51,33 @@
         this.windowNanos = window.toNanos();
     }
 
-    /** Takes in how many hosts there are; a host that was lost goes on counting. */
+    /** Updates the number of hosts; it never decreases, so that a failed host keeps its share. */
     public void updateHostCount(int seen) {
         hosts = Math.max(hosts, seen);
     }
 
-    /** Notes a request for a service. */
+    /** Records a request for a service. */
     public void recordRequest(ServiceName service, long now) {
         Window window = window(service);
         window.requests.addLast(now);
         forget(window.requests, now);
     }
 
-    /** Takes one resend of a service's requests out of its allowance, if there is one left. */
+    /**
+     * Takes one retry out of the allowance of a service, and returns whether there was one left.
+     */
     public boolean tryTake(ServiceName service, long now) {
         Window window = window(service);
         forget(window.requests, now);
-        forget(window.resends, now);
+        forget(window.retries, now);
         if (remaining(window) < 1) {
             return false;
         }
-        window.resends.addLast(now);
+        window.retries.addLast(now);
         return true;
     }
 
-    /** Returns how many resends the service with the fewest has left, as of its last request. */
+    /** Returns the remaining retries of the service with the fewest, as of its last request. */
     public double remaining() {
         return windows.values().stream()
                 .mapToDouble(this::remaining)
@@ -82,7 +87,7 @@
 
     private double remaining(Window window) {
         double allowed = USED_SHARE * (ratio * window.requests.size() + commonSlack / hosts);
-        return allowed - window.resends.size();
+        return allowed - window.retries.size();
     }
 
     private Window window(ServiceName service) {
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/SuspectDispatcher.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/SuspectDispatcher.java
@@ -7,25 +7,27 @@
 import java.util.function.Predicate;
 
 /**
- * Picks instances for requests that may have ended one: apart from each other, and each copy of one
- * at the same instance, so that it ends as few as can be.
+ * Picks instances for suspects: requests that may have crashed an instance. Suspects are isolated
+ * from each other, and all copies of one suspect go to the same instance, so that it crashes as few
+ * instances as possible.
  */
 public final class SuspectDispatcher {
 
     private final Dispatcher dispatcher;
     private final Trials trials;
 
-    /** Creates a dispatcher of suspects beside that of all other requests. */
+    /** Creates a dispatcher for suspects, which uses the given dispatcher of all other requests. */
     public SuspectDispatcher(Dispatcher dispatcher, Trials trials) {
         this.dispatcher = dispatcher;
         this.trials = trials;
     }
 
     /**
-     * Decides where a suspect goes.
+     * Decides where a suspect goes. It waits while a copy of it is running on this host, or while
+     * only instances that run another suspect could take it.
      *
      * @param allowed the instances that it may be sent to
-     * @param late whether its answer can only be late
+     * @param late whether its answer can no longer meet the latency objective
      */
     public Choice choose(
             RequestDigest request,
@@ -38,7 +40,7 @@
         }
         Predicate<UpstreamId> free = allowed.and(id -> !trials.occupied(id));
         Choice choice = dispatcher.choose(need, free, late, Optional.of(request), now);
-        boolean held = !(choice instanceof Choice.Send) && trials.any();
-        return held ? new Choice.Apart() : choice;
+        boolean blocked = !(choice instanceof Choice.Send) && trials.any();
+        return blocked ? new Choice.Apart() : choice;
     }
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/WaitBudget.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/WaitBudget.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /**
- * How long one request waits for what it lacks.
+ * Decides how long one request waits for what it lacks.
  *
- * <p>It does not begin to wait for what cannot come in time. Once it waits, it waits on for up to
- * twice the time that was expected, or until an answer would come too late: what it waits for may
- * be nearly there. Judged anew by the whole time of a load, 23 of the 51 requests of a calm day
- * that were refused for want of their model were refused 2.0 to 2.15 s after they came, while loads
- * from a disk take 2.0 to 2.3 s (counted in the log).
+ * <p>It does not start to wait for something that cannot arrive in time. Once it waits, it
+ * continues for up to twice the expected time, or until an answer would be too late, since what it
+ * waits for may be nearly there. When each check compared the whole time of a load anew, 23 of the
+ * 51 requests that were refused for lack of their model on a quiet day were refused 2.0 to 2.15 s
+ * after they arrived, while loads from a disk take 2.0 to 2.3 s (counted in the log).
  */
 public final class WaitBudget {
 
@@ -21,36 +21,43 @@
     private long giveUpAt;
 
     /**
-     * Creates the patience of a request that has just come or begun to wait again.
+     * Creates the budget of a request that has just arrived or starts to wait again.
      *
-     * @param latest when a send is of no use any more, on the monotonic clock in nanoseconds
+     * @param deadline the time after which sending is useless, on the monotonic clock in
+     *     nanoseconds
      */
-    public WaitBudget(long latest) {
-        this.deadline = latest;
+    public WaitBudget(long deadline) {
+        this.deadline = deadline;
     }
 
-    /** Returns whether what is known to come after some time comes too late. */
+    /**
+     * Starts to wait until the deadline, and returns whether something that is known to arrive
+     * after the given time misses it.
+     */
     public boolean isDueTooLate(Duration left, long now) {
         startWaiting();
         return wouldMissDeadline(left, now);
     }
 
-    /** Notes that the request waits for what comes in time, until that would be too late. */
+    /** Starts to wait until the deadline, for something that arrives in time. */
     public void startWaiting() {
         waiting = true;
         giveUpAt = deadline;
     }
 
-    /** Returns whether what takes some time, and begins now at the earliest, comes too late. */
+    /**
+     * Returns whether something that takes the given time, and starts now at the earliest, misses
+     * the deadline.
+     */
     public boolean wouldMissDeadline(Duration time, long now) {
         return now + time.toNanos() - deadline > 0;
     }
 
     /**
-     * Returns whether waiting is of no use any more.
+     * Returns whether further waiting is useless.
      *
-     * @param expected how long what it waits for takes from its beginning on, or zero where it may
-     *     come at any moment
+     * @param expected how long what it waits for takes from its start, or zero if it may arrive at
+     *     any moment
      */
     public boolean isExhausted(Duration expected, long now) {
         if (!waiting && now + expected.toNanos() - deadline > 0) {
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/WaitReason.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/WaitReason.java
@@ -1,6 +1,6 @@
 package io.stackhall.core.dispatch;
 
-/** What a request waits for, as the log tells it. */
+/** What a request waits for, as it is written to the log. */
 public enum WaitReason {
     /** Nothing yet. */
     NOTHING,
@@ -8,18 +8,21 @@
     MODEL_ABSENT,
     /** Its model is being loaded. */
     MODEL_LOADING,
-    /** Its adapter. */
+    /** Its adapter is not resident. */
     ADAPTER,
-    /** A place: every instance that could run it has as much as it takes from this host. */
+    /**
+     * A free slot: every instance that could run it has as many requests as it accepts from this
+     * host.
+     */
     FULL,
-    /** An instance of its service. */
+    /** No instance of its service is known. */
     NO_INSTANCE,
-    /** An instance without another request that may have ended one. */
+    /** An instance that runs no other suspect, a request that may have crashed an instance. */
     APART,
-    /** A permit for an instance that takes only so many requests a second. */
+    /** A permit for an instance that accepts only a limited number of requests per second. */
     LIMIT,
-    /** The end of the rest that an instance wants from this host. */
+    /** The end of a rest: an instance has asked this host to send nothing for a while. */
     REST,
-    /** Word whether its customer may have it run. */
+    /** The decision whether the allowance of its customer covers it. */
     ALLOWANCE
 }
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/WorkReports.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/WorkReports.java
@@ -7,14 +7,15 @@
 import java.util.function.BinaryOperator;
 
 /**
- * How many requests there are at each instance, as several hosts have said lately.
+ * The number of requests, or of unread prompt tokens, at each instance as recently reported by
+ * several hosts.
  *
- * <p>An engine that does not tell its load queues what comes beyond its slots, out of reach of a
- * better choice. While each host knew its own requests only, the first event of requests that found
- * up to 48 others at an engine of 48 slots took 90 ms, and of those that found 64 took 661 ms
- * (medians of one day of trouble, from the log).
+ * <p>An engine that does not report its load queues requests beyond its slots, where they can no
+ * longer be sent elsewhere. While each host knew only its own requests, the first event took 90 ms
+ * for requests that found up to 48 others at an engine of 48 slots, and 661 ms for those that found
+ * 64 (medians from the log of one day with failures).
  *
- * <p>Not thread-safe: one thread uses it.
+ * <p>Not thread-safe: used by one thread.
  */
 public final class WorkReports {
 
@@ -23,37 +24,41 @@
 
     private record Report(Map<UpstreamId, Integer> work, long at) {}
 
-    /** Takes in how many entry hosts there are, by which reports come more or less often. */
+    /** Sets the number of entry hosts, which determines the lifetime of a report. */
     public void setHostCount(int hosts) {
         lifetimeNanos = new ReportTiming(hosts).lifetime().toNanos();
     }
 
-    /** Takes in what a host says; instances that it does not name have no work. */
+    /** Replaces the report of a host; instances that it does not contain have no work. */
     public void put(HostId host, Map<UpstreamId, Integer> work, long now) {
         reports.put(host, new Report(Map.copyOf(work), now));
         reports.values().removeIf(report -> now - report.at() > lifetimeNanos);
     }
 
-    /** Returns the work of all hosts, added up. */
+    /** Returns the sum over all hosts. */
     Map<UpstreamId, Integer> sum(long now) {
         return merged(null, Integer::sum, now);
     }
 
-    /** Returns the work of all hosts but one, added up. */
+    /** Returns the sum over all hosts but one. */
     public Map<UpstreamId, Integer> sumExcluding(HostId host, long now) {
         return merged(host, Integer::sum, now);
     }
 
-    /** Returns the most that any host has said of each instance: one that is cut off hears less. */
+    /**
+     * Returns the highest value that any host has reported for each instance: a host that is cut
+     * off reports less.
+     */
     public Map<UpstreamId, Integer> max(long now) {
         return merged(null, Integer::max, now);
     }
 
-    private Map<UpstreamId, Integer> merged(HostId without, BinaryOperator<Integer> how, long now) {
+    private Map<UpstreamId, Integer> merged(
+            HostId excluded, BinaryOperator<Integer> how, long now) {
         Map<UpstreamId, Integer> all = new HashMap<>();
         reports.forEach(
                 (host, report) -> {
-                    if (!host.equals(without) && now - report.at() <= lifetimeNanos) {
+                    if (!host.equals(excluded) && now - report.at() <= lifetimeNanos) {
                         report.work().forEach((id, count) -> all.merge(id, count, how));
                     }
                 });
--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/package-info.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/package-info.java
@@ -1,2 +1,5 @@
-/** Which instance a request is sent to, whether it waits, and when it is refused. */
+/**
+ * Selects the instance for each request, and decides whether a request is sent, waits or is
+ * refused.
+ */
 package io.stackhall.core.dispatch;
