--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/BackpressureProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/BackpressureProperties.java
@@ -28,19 +28,22 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Rests, limits and leaving at one host, with words that come late or out of order. */
+/**
+ * Random sequences of rests, limits and drains at one host, with notices that arrive late or out of
+ * order.
+ */
 class BackpressureProperties {
 
     private static final int STEPS = 400;
     private static final long LONGEST_PAUSE_MILLIS = 60;
 
     @Property(tries = 300)
-    void nothingIsSentInARestOrAfterLeavingAndNobodyIsRefusedWhileAnotherHasRoom(
+    void neitherRestingNorDrainingInstancesGetRequestsAndFreeOnesAreUsed(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int instances) {
         new Scenario(seed, instances).run();
     }
 
-    /** One host, and what upstreams have told it. */
+    /** One host, and what upstreams have asked of it. */
     private static final class Scenario {
         private final Random random;
         private final LimitedUpstreams limits;
@@ -49,10 +52,10 @@
         private final List<UpstreamId> ids;
         private final Map<UpstreamId, Long> restEnds = new HashMap<>();
         private final Set<UpstreamId> limited = new HashSet<>();
-        private final Set<UpstreamId> leaving = new HashSet<>();
+        private final Set<UpstreamId> draining = new HashSet<>();
         private long now = Duration.ofSeconds(100).toNanos();
         private long sequence;
-        private long words;
+        private long revisions;
 
         Scenario(long seed, int instances) {
             random = new Random(seed);
@@ -89,17 +92,17 @@
 
         private void drain(UpstreamId id) {
             if (random.nextInt(8) == 0) {
-                leaving.add(id);
+                draining.add(id);
                 table.drain(id).forEach(dispatcher::updateInstance);
             }
         }
 
         private void limit(UpstreamId id) {
-            boolean names = random.nextBoolean();
-            OptionalDouble figure = names ? OptionalDouble.of(0.5) : OptionalDouble.empty();
-            if (limits.told(new LimitWord(id, figure, false, new LimitRevision(1, ++words)))) {
+            boolean limitSet = random.nextBoolean();
+            OptionalDouble limit = limitSet ? OptionalDouble.of(0.5) : OptionalDouble.empty();
+            if (limits.told(new LimitWord(id, limit, false, new LimitRevision(1, ++revisions)))) {
                 limited.remove(id);
-                if (names) {
+                if (limitSet) {
                     limited.add(id);
                 }
             }
@@ -111,12 +114,14 @@
             if (choice instanceof Choice.Send send) {
                 sent(send.instance().id(), need);
             } else {
-                assertThat(ids).as("free of any word, but %s", choice).noneMatch(this::isFree);
+                assertThat(ids)
+                        .as("no unrestricted instance, but %s", choice)
+                        .noneMatch(this::isFree);
             }
         }
 
         private void sent(UpstreamId id, Need need) {
-            assertThat(leaving).doesNotContain(id);
+            assertThat(draining).doesNotContain(id);
             assertThat(restEnds.getOrDefault(id, now)).isLessThanOrEqualTo(now);
             InFlightRequest sending = dispatcher.requestSent(id, need, now);
             if (random.nextInt(3) == 0) {
@@ -135,9 +140,9 @@
             restEnds.merge(id, now + rest.toNanos(), Math::max);
         }
 
-        /** Returns whether an instance has never asked for anything, so that it takes requests. */
+        /** Returns whether an instance has never asked for anything, and so accepts requests. */
         private boolean isFree(UpstreamId id) {
-            return !leaving.contains(id) && !limited.contains(id) && !restEnds.containsKey(id);
+            return !draining.contains(id) && !limited.contains(id) && !restEnds.containsKey(id);
         }
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/ColdReturnReplay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/ColdReturnReplay.java
@@ -11,8 +11,8 @@
 import java.util.Random;
 
 /**
- * An instance that is back cold beside many hosts, each of which would send it whatever comes.
- * Times are in milliseconds.
+ * Simulates an instance that returns cold beside many hosts, each of which would send it every
+ * request. Times are in milliseconds.
  */
 final class ColdReturnReplay {
 
@@ -24,49 +24,49 @@
     private final Random random;
     private final List<ColdInstanceLimiter> hosts = new ArrayList<>();
 
-    /** What the instance got: the most in any second, and all. */
+    /** The requests that the instance got: the maximum in any second, and the total. */
     record Outcome(int maxInASecond, int sent) {}
 
     ColdReturnReplay(long seed, int hostCount) {
         random = new Random(seed);
         Instance instance = Instances.cold("cold", Duration.ofMillis(COLD_MILLIS));
         for (int count = 0; count < hostCount; count++) {
-            ColdInstanceLimiter share = new ColdInstanceLimiter(new Random(random.nextLong()));
-            share.setHostCount(hostCount);
-            share.update(instance);
-            hosts.add(share);
+            ColdInstanceLimiter limiter = new ColdInstanceLimiter(new Random(random.nextLong()));
+            limiter.setHostCount(hostCount);
+            limiter.update(instance);
+            hosts.add(limiter);
         }
     }
 
     /**
-     * Plays the time in which the instance is cold.
+     * Simulates the time in which the instance is cold.
      *
-     * @param askedPerSecond requests at all hosts together
-     * @param quietFirst whether nothing is asked for in the first half
+     * @param arrivalsPerSecond requests per second over all hosts
+     * @param quietFirst whether there are no requests in the first half
      */
-    Outcome play(double askedPerSecond, double bearsPerSecond, boolean quietFirst) {
+    Outcome simulate(double arrivalsPerSecond, double capacityPerSecond, boolean quietFirst) {
         Deque<Long> window = new ArrayDeque<>();
-        int most = 0;
+        int max = 0;
         int sent = 0;
-        hosts.forEach(host -> host.allows(COLD, bearsPerSecond, nanos(0)));
+        hosts.forEach(host -> host.allows(COLD, capacityPerSecond, nanos(0)));
         for (long at = 0; at < COLD_MILLIS; at++) {
-            boolean asked = random.nextDouble() < askedPerSecond / WINDOW_MILLIS;
-            if (!asked || (quietFirst && at < QUIET_UNTIL)) {
+            boolean arrives = random.nextDouble() < arrivalsPerSecond / WINDOW_MILLIS;
+            if (!arrives || (quietFirst && at < QUIET_UNTIL)) {
                 continue;
             }
             ColdInstanceLimiter host = hosts.get(random.nextInt(hosts.size()));
-            if (!host.allows(COLD, bearsPerSecond, nanos(at))) {
+            if (!host.allows(COLD, capacityPerSecond, nanos(at))) {
                 continue;
             }
-            host.recordSent(COLD, bearsPerSecond, nanos(at));
+            host.recordSent(COLD, capacityPerSecond, nanos(at));
             sent++;
             window.addLast(at);
             while (at - window.peekFirst() > WINDOW_MILLIS) {
                 window.removeFirst();
             }
-            most = Math.max(most, window.size());
+            max = Math.max(max, window.size());
         }
-        return new Outcome(most, sent);
+        return new Outcome(max, sent);
     }
 
     private static long nanos(long millis) {
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/DispatcherTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/DispatcherTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Where requests go. */
+/** Tests where requests go. */
 class DispatcherTest {
 
     private static final long NOW = Duration.ofSeconds(100).toNanos();
@@ -53,13 +53,13 @@
     }
 
     @Test
-    void upstreamThatStartsAgainHasNoWorkOfBefore() {
+    void restartedUpstreamHasNoWorkOfItsPreviousIncarnation() {
         dispatcher.updateInstance(life("a", 100, 9, "m"));
         UpstreamId earlier = new UpstreamId("a", 100);
-        InFlightRequest sending = dispatcher.requestSent(earlier, need(Optional.empty()), NOW);
+        InFlightRequest inFlight = dispatcher.requestSent(earlier, need(Optional.empty()), NOW);
         dispatcher.updateInstance(life("a", 100, 9, "m").withState(InstanceState.GONE));
         dispatcher.updateInstance(life("a", 200, 1, "m"));
-        dispatcher.requestEnded(sending, NOW);
+        dispatcher.requestEnded(inFlight, NOW);
         assertThat(dispatcher.occupancy(new UpstreamId("a", 200), NOW)).isZero();
         assertThat(dispatcher.takeWork()).isEmpty();
     }
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void instancesOfAnEvacuatedZoneGetNothingUntilThatIsTakenBack() {
+    void instancesOfAnEvacuatedZoneGetNothingUntilTheEvacuationIsUndone() {
         EvacuatedZones evacuated = EvacuatedZones.none().with(new ZoneId("plateau"));
         dispatcher.updateInstance(instance("a", 1, "m"));
         dispatcher.updateInstance(elsewhere("yoff", "bb", 1, "m"));
@@ -88,21 +88,21 @@
     }
 
     @Test
-    void instancesThatWereTriedAreNotUnknown() {
+    void reportsAllTriedWhenKnownInstancesWereTried() {
         dispatcher.updateInstance(instance("a", 1, "m"));
         assertThat(dispatcher.choose(need(Optional.empty()), id -> false, false, NOW))
                 .isEqualTo(new Choice.AllTried());
     }
 
     @Test
-    void modelThatIsNowhereIsAwaitedForItsNearestLoad() {
+    void missingModelReportsLoadTimeFromNearestCopy() {
         dispatcher.updateInstance(instance("a", 1, "other"));
         assertThat(dispatcher.choose(need(Optional.empty()), id -> true, false, NOW))
                 .isEqualTo(new Choice.ModelMissing(Duration.ofSeconds(9)));
     }
 
     @Test
-    void adapterIsAskedForWhereItsModelIs() {
+    void adapterIsRequestedWhereItsModelIsResident() {
         dispatcher.updateInstance(instance("a", 1, "m"));
         assertThat(dispatcher.choose(need(Optional.of("a1")), id -> true, false, NOW))
                 .isInstanceOf(Choice.AdapterMissing.class);
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void modelThatIsLoadedAgainSoonAfterItsUnloadServesAtOnce() {
+    void modelReloadedSoonAfterItsUnloadIsUsedAtOnce() {
         dispatcher.updateInstance(instance("a", 1, "m"));
         dispatcher.updateResidency(new UpstreamId("a"), MODEL, Optional.empty(), false, NOW);
         dispatcher.updateInstance(instance("a", 2, "other"));
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void adaptersThatWereToldOfLeaveWithTheirModel() {
+    void notifiedAdaptersAreDroppedWithTheirModel() {
         dispatcher.updateInstance(instance("a", 1, "m"));
         dispatcher.updateResidency(new UpstreamId("a"), MODEL, Optional.of("a1"), true, NOW);
         dispatcher.updateInstance(instance("a", 2, "other"));
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void loadThatIsUnderWayIsAwaitedForWhatIsLeftOfIt() {
+    void loadInProgressReportsItsRemainingTime() {
         dispatcher.updateInstance(instance("a", 1, "other"));
         dispatcher.loadStarted(new UpstreamId("a"), MODEL, Duration.ofSeconds(2), NOW);
         long later = NOW + Duration.ofMillis(1500).toNanos();
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void loadThatDidNotComeIsNotAwaited() {
+    void overdueLoadCountsAsFailed() {
         dispatcher.updateInstance(instance("a", 1, "other"));
         dispatcher.loadStarted(new UpstreamId("a"), MODEL, Duration.ofSeconds(2), NOW);
         long later = NOW + Duration.ofSeconds(5).toNanos();
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void modelThatIsAboutToGoGetsNothingNew() {
+    void modelAboutToBeUnloadedGetsNoRequests() {
         dispatcher.updateInstance(instance("a", 1, "m"));
         dispatcher.updateResidency(new UpstreamId("a"), MODEL, Optional.empty(), false, NOW);
         assertThat(dispatcher.choose(need(Optional.empty()), id -> true, false, NOW))
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void adapterThatIsAboutToGoIsAskedForAgain() {
+    void adapterAboutToBeUnloadedIsRequestedAgain() {
         dispatcher.updateInstance(instance("a", 1, "m"));
         Optional<String> adapter = Optional.of("a1");
         dispatcher.updateResidency(new UpstreamId("a"), MODEL, adapter, true, NOW);
@@ -205,7 +205,7 @@
     }
 
     @Test
-    void placeAtAnInstanceThatAnswersIsAwaitedRatherThanASilentOneTaken() {
+    void waitsForAResponsiveInstanceRatherThanUsingASilentOne() {
         dispatcher.updateInstance(instance("a", 1, "m"));
         dispatcher.updateInstance(instance("bb", 1, "m"));
         dispatcher.requestSent(new UpstreamId("a"), need(Optional.empty()), NOW);
@@ -218,7 +218,7 @@
     }
 
     @Test
-    void requestsOfOtherHostsFillAnInstanceUnlessItTellsOtherwise() {
+    void requestsOfOtherHostsFillAnInstanceUnlessItReportsItsLoad() {
         UpstreamId id = new UpstreamId("a");
         dispatcher.updateInstance(instance("a", 1, "m"));
         dispatcher.updateRemoteRequests(Map.of(id, 4), NOW);
@@ -230,7 +230,7 @@
     }
 
     @Test
-    void workIsToldWithWhatWasAnsweredSlowly() {
+    void reportedWorkIncludesSlowAnswers() {
         UpstreamId id = new UpstreamId("a");
         dispatcher.updateInstance(instance("a", 1, "m"));
         dispatcher.setObjectives(Map.of(SERVICE, Duration.ofMillis(400)));
@@ -245,40 +245,40 @@
     void endedRequestsLeaveNoWorkBehind() {
         dispatcher.updateInstance(instance("a", 1, "m"));
         for (int count = 0; count < 50; count++) {
-            InFlightRequest sending =
+            InFlightRequest inFlight =
                     dispatcher.requestSent(new UpstreamId("a"), need(Optional.empty()), NOW);
             if (count % 2 == 0) {
-                dispatcher.responseStarted(sending, NOW);
+                dispatcher.responseStarted(inFlight, NOW);
             }
-            dispatcher.requestEnded(sending, NOW);
-            dispatcher.requestEnded(sending, NOW);
+            dispatcher.requestEnded(inFlight, NOW);
+            dispatcher.requestEnded(inFlight, NOW);
         }
         assertThat(dispatcher.occupancy(new UpstreamId("a"), NOW)).isZero();
         assertThat(sentTo(need(Optional.empty()))).contains("a");
     }
 
     @Test
-    void resendsStayWithinTheRatioAndTheSlack() {
-        RetryLimiter allowance = new RetryLimiter(0.2, 10, 2, Duration.ofSeconds(10));
+    void retriesStayWithinTheRatioAndTheSlack() {
+        RetryLimiter limiter = new RetryLimiter(0.2, 10, 2, Duration.ofSeconds(10));
         for (int count = 0; count < 50; count++) {
-            allowance.recordRequest(SERVICE, NOW);
+            limiter.recordRequest(SERVICE, NOW);
         }
         long taken = 0;
-        while (allowance.tryTake(SERVICE, NOW)) {
+        while (limiter.tryTake(SERVICE, NOW)) {
             taken++;
         }
         assertThat(taken).isEqualTo(12);
-        assertThat(allowance.tryTake(SERVICE, NOW + Duration.ofSeconds(11).toNanos())).isTrue();
+        assertThat(limiter.tryTake(SERVICE, NOW + Duration.ofSeconds(11).toNanos())).isTrue();
     }
 
     @Test
-    void slackIsSharedByAsManyHostsAsWereEverSeen() {
-        RetryLimiter allowance = new RetryLimiter(0, 100, 2, Duration.ofSeconds(10));
-        allowance.updateHostCount(40);
-        allowance.updateHostCount(1);
-        assertThat(allowance.tryTake(SERVICE, NOW)).isTrue();
-        assertThat(allowance.tryTake(SERVICE, NOW)).isTrue();
-        assertThat(allowance.tryTake(SERVICE, NOW)).isFalse();
+    void slackIsSharedByTheMaximumNumberOfHostsSeen() {
+        RetryLimiter limiter = new RetryLimiter(0, 100, 2, Duration.ofSeconds(10));
+        limiter.updateHostCount(40);
+        limiter.updateHostCount(1);
+        assertThat(limiter.tryTake(SERVICE, NOW)).isTrue();
+        assertThat(limiter.tryTake(SERVICE, NOW)).isTrue();
+        assertThat(limiter.tryTake(SERVICE, NOW)).isFalse();
     }
 
     private Optional<String> sentTo(Need need) {
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/Dispatchers.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/Dispatchers.java
@@ -7,7 +7,7 @@
 import io.stackhall.core.limit.LimitedUpstreams;
 import java.util.Random;
 
-/** Dispatchers of tests in which no instance has a limit at first. */
+/** Creates dispatchers for tests, in which no instance has a limit at first. */
 final class Dispatchers {
 
     private Dispatchers() {}
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/LimitedDispatchTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/LimitedDispatchTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Where requests go while one of the instances takes only a few of them. */
+/** Tests where requests go while one of the instances accepts only a limited number of them. */
 class LimitedDispatchTest {
 
     private static final long NOW = Duration.ofSeconds(100).toNanos();
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void requestThatNobodyElseServesWaitsForAPermit() {
+    void requestThatNoOtherInstanceServesWaitsForAPermit() {
         dispatcher.updateInstance(instance("bb", 1, "other"));
         Choice choice = choice();
         assertThat(choice).isInstanceOf(Choice.Limited.class);
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void requestWhosePermitComesTooLateIsRefusedAtOnceWithThatTime() {
+    void requestWhosePermitComesTooLateIsRefusedAtOnceWithTheTimeOfThePermit() {
         choice();
         denyPermitFor(Duration.ofSeconds(7));
         Admission admission = new Admission(NOW + Duration.ofSeconds(4).toNanos());
@@ -118,13 +118,13 @@
         dispatcher.updateInstance(instance("bb", 1, "other"));
         choice();
         denyPermitFor(Duration.ofSeconds(12));
-        // Nothing would be left of its time after the load.
+        // The deadline is only 100 ms after the load, too short for the request itself.
         Admission admission = new Admission(NOW + LOAD.plusMillis(100).toNanos());
         assertThat(admission.decide(choice(), 0, NOW)).isInstanceOf(Admission.Verdict.GiveUp.class);
     }
 
     @Test
-    void requestWhosePermitComesAfterItsObjectiveDoesNotKeepThoseBehindItWaiting() {
+    void requestWhosePermitComesAfterItsObjectiveDoesNotDelayThoseBehindIt() {
         choice();
         denyPermitFor(Duration.ofSeconds(2));
         long deadline = NOW + Duration.ofSeconds(5).toNanos();
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void adapterIsWantedWhereThereIsNoLimit() {
+    void adapterIsRequestedAtTheInstanceWithoutALimit() {
         dispatcher.updateInstance(instance("bb", 1, "m"));
         Need need =
                 new Need(SERVICE, Optional.of(MODEL), Optional.of("a1"), List.of(), 1000, 20, 1);
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/ManyHostsReplay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/ManyHostsReplay.java
@@ -18,8 +18,9 @@
 import java.util.Random;
 
 /**
- * Demand that jumps at many hosts to a model of which one engine has a copy; further copies come
- * one after the other. Engines read prompts one after another. Times are in milliseconds.
+ * Simulates a surge of demand at many hosts for a model of which one engine has a copy; further
+ * copies are loaded one after another. Engines process prompts one after another. Times are in
+ * milliseconds.
  */
 final class ManyHostsReplay {
 
@@ -27,7 +28,7 @@
     private static final long OBJECTIVE = 800;
     private static final long RECHECK_INTERVAL = 25;
 
-    /** How long callers wait, but for the time that a send needs. */
+    /** The time that callers wait, less the time that a send needs. */
     static final long DEADLINE = 4650;
 
     private static final int PROMPT_TOKENS = 1800;
@@ -41,7 +42,7 @@
     private final double perSecond;
     private final boolean shareUnread;
     private final List<Dispatcher> dispatchers = new ArrayList<>();
-    private final Map<UpstreamId, Long> readUntil = new HashMap<>();
+    private final Map<UpstreamId, Long> busyUntil = new HashMap<>();
     private final PriorityQueue<PromptCompletion> completions =
             new PriorityQueue<>((one, other) -> Long.compare(one.at(), other.at()));
     private final List<Waiting> waiting = new ArrayList<>();
@@ -50,24 +51,24 @@
     private int refused;
     private long refusedWaitMillis;
 
-    /** A prompt that an engine will have read at a moment. */
-    private record PromptCompletion(long at, int host, InFlightRequest sending, long arrivedAt) {}
+    /** The time at which an engine completes a prompt. */
+    private record PromptCompletion(long at, int host, InFlightRequest inFlight, long arrivedAt) {}
 
     /** A request that waits at its host. */
     private record Waiting(int host, long arrivedAt, Admission admission) {}
 
     /**
-     * What became of the requests.
+     * The results.
      *
-     * @param inTime the share whose first event comes within the objective
-     * @param refusedWaitMillis how long those that are refused waited for it, in the mean
+     * @param inTime the share of requests whose first event meets the latency objective
+     * @param refusedWaitMillis the mean time that refused requests waited before they were refused
      */
     record Outcome(double inTime, double refusedWaitMillis) {}
 
     /**
-     * Creates a play.
+     * Creates a simulation.
      *
-     * @param shareUnread whether hosts tell each other how much there is to read
+     * @param shareUnread whether hosts report their unread prompt tokens to each other
      */
     ManyHostsReplay(long seed, int hosts, double perSecond, boolean shareUnread) {
         this.random = new Random(seed);
@@ -79,8 +80,8 @@
         }
     }
 
-    /** Plays to the end. */
-    Outcome play() {
+    /** Runs the simulation to its end. */
+    Outcome simulate() {
         for (long now = 1; now < LENGTH; now++) {
             addCopies(now);
             completePrompts(now);
@@ -114,14 +115,14 @@
         return dispatcher;
     }
 
-    /** The host has seen how fast engines read. */
+    /** Lets the host measure the rate at which engines process prompts. */
     private static void warmUp(Dispatcher dispatcher) {
         dispatcher.updateInstance(instance("warm", 1, "other"));
         for (int count = 0; count < 8; count++) {
-            InFlightRequest sending = dispatcher.requestSent(new UpstreamId("warm"), need(), 0);
+            InFlightRequest inFlight = dispatcher.requestSent(new UpstreamId("warm"), need(), 0);
             long nanos = nanos(Math.round(PROMPT_TOKENS / TOKENS_PER_MILLI));
-            dispatcher.responseStarted(sending, nanos);
-            dispatcher.requestEnded(sending, nanos);
+            dispatcher.responseStarted(inFlight, nanos);
+            dispatcher.requestEnded(inFlight, nanos);
         }
     }
 
@@ -131,21 +132,21 @@
         if (now == 1 || further) {
             String name = now == 1 ? "a0" : "a" + (1 + since / COPY_EVERY);
             dispatchers.forEach(dispatcher -> dispatcher.updateInstance(instance(name, 1, "m")));
-            readUntil.put(new UpstreamId(name), now);
+            busyUntil.put(new UpstreamId(name), now);
         }
     }
 
     private void completePrompts(long now) {
         while (!completions.isEmpty() && completions.peek().at() <= now) {
-            PromptCompletion reading = completions.poll();
-            Dispatcher dispatcher = dispatchers.get(reading.host());
-            dispatcher.responseStarted(reading.sending(), nanos(now));
-            dispatcher.requestEnded(reading.sending(), nanos(now));
-            inTime += now - reading.arrivedAt() <= OBJECTIVE ? 1 : 0;
+            PromptCompletion completion = completions.poll();
+            Dispatcher dispatcher = dispatchers.get(completion.host());
+            dispatcher.responseStarted(completion.inFlight(), nanos(now));
+            dispatcher.requestEnded(completion.inFlight(), nanos(now));
+            inTime += now - completion.arrivedAt() <= OBJECTIVE ? 1 : 0;
         }
     }
 
-    /** Each host is told every 150 ms what the others had a while before. */
+    /** Every 150 ms each host receives the totals that the other hosts have at that moment. */
     private void exchangeReports(long now) {
         if (!shareUnread || now % 150 != 0) {
             return;
@@ -170,7 +171,7 @@
             arrived++;
             Admission admission = new Admission(nanos(now + DEADLINE));
             Waiting request = new Waiting(random.nextInt(hosts), now, admission);
-            if (!settled(request, now)) {
+            if (!isSettled(request, now)) {
                 waiting.add(request);
             }
         }
@@ -179,18 +180,18 @@
     private void recheckWaiting(long now) {
         waiting.sort(
                 (one, other) ->
-                        Boolean.compare(late(one, now), late(other, now)) != 0
-                                ? Boolean.compare(late(one, now), late(other, now))
+                        Boolean.compare(isLate(one, now), isLate(other, now)) != 0
+                                ? Boolean.compare(isLate(one, now), isLate(other, now))
                                 : Long.compare(one.arrivedAt(), other.arrivedAt()));
         for (Waiting request : List.copyOf(waiting)) {
-            if (settled(request, now)) {
+            if (isSettled(request, now)) {
                 waiting.remove(request);
             }
         }
     }
 
-    /** Sends or refuses a request, or returns that it waits on. */
-    private boolean settled(Waiting request, long now) {
+    /** Sends or refuses a request, and returns whether either happened. */
+    private boolean isSettled(Waiting request, long now) {
         Dispatcher dispatcher = dispatchers.get(request.host());
         Choice choice = dispatcher.choose(need(), id -> true, left(request, now), nanos(now));
         return switch (request.admission().decide(choice, ahead(request, now), nanos(now))) {
@@ -212,28 +213,28 @@
         int ahead = 0;
         for (Waiting other : waiting) {
             boolean before =
-                    late(other, now) == late(request, now)
+                    isLate(other, now) == isLate(request, now)
                             ? other.arrivedAt() < request.arrivedAt()
-                            : late(request, now);
+                            : isLate(request, now);
             ahead += !other.equals(request) && other.host() == request.host() && before ? 1 : 0;
         }
         return ahead;
     }
 
     private void send(Dispatcher dispatcher, UpstreamId engine, Waiting request, long now) {
-        InFlightRequest sending = dispatcher.requestSent(engine, need(), nanos(now));
-        long begins = Math.max(now, readUntil.get(engine));
-        long at = begins + Math.round(PROMPT_TOKENS / TOKENS_PER_MILLI);
-        readUntil.put(engine, at);
-        completions.add(new PromptCompletion(at, request.host(), sending, request.arrivedAt()));
+        InFlightRequest inFlight = dispatcher.requestSent(engine, need(), nanos(now));
+        long startsAt = Math.max(now, busyUntil.get(engine));
+        long at = startsAt + Math.round(PROMPT_TOKENS / TOKENS_PER_MILLI);
+        busyUntil.put(engine, at);
+        completions.add(new PromptCompletion(at, request.host(), inFlight, request.arrivedAt()));
     }
 
     private static Duration left(Waiting request, long now) {
-        long left = late(request, now) ? 0 : OBJECTIVE - (now - request.arrivedAt());
+        long left = isLate(request, now) ? 0 : OBJECTIVE - (now - request.arrivedAt());
         return Duration.ofMillis(left);
     }
 
-    private static boolean late(Waiting request, long now) {
+    private static boolean isLate(Waiting request, long now) {
         return now - request.arrivedAt() > OBJECTIVE * 7 / 8;
     }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/PlainServiceReplay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/PlainServiceReplay.java
@@ -19,9 +19,9 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Requests in clumps, from many hosts that each send little, to three instances of a plain service
- * that are two thirds full. Each answer tells the load of its instance; hosts tell each other of
- * their work. Times are in milliseconds.
+ * Simulates requests that arrive in batches, from many hosts that each send little, to three
+ * instances of a service that runs no models and is two thirds full. Each answer reports the load
+ * of its instance; hosts report their work to each other. Times are in milliseconds.
  */
 final class PlainServiceReplay {
 
@@ -48,7 +48,7 @@
     private static final class Job {
         private final int host;
         private final long arrivedAt;
-        private InFlightRequest sending;
+        private InFlightRequest inFlight;
         private long endsAt;
 
         private Job(int host, long arrivedAt) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /** One instance: so many run, a few more wait. */
+    /** One instance, which runs as many requests as it has slots and queues a few more. */
     private static final class Upstream {
         private final int slots;
         private int busy;
@@ -68,7 +68,7 @@
         }
     }
 
-    /** What became of the requests, as shares. */
+    /** The shares of requests in time and rejected. */
     record Outcome(double inTime, double rejected) {}
 
     PlainServiceReplay(long seed, int hosts, double perSecond, int instances) {
@@ -89,12 +89,12 @@
         }
     }
 
-    /** Returns how many requests an instance runs at once. */
+    /** Returns the number of requests that an instance runs at once. */
     static int slots() {
         return instance("p", 1, "m").slots();
     }
 
-    Outcome play() {
+    Outcome simulate() {
         for (long now = 1; now < LENGTH; now++) {
             end(now);
             if (now % REPORT_INTERVAL == 0) {
@@ -134,7 +134,7 @@
             dispatcher.updateReportedLoad(id, upstream.busy + upstream.queue.size(), nanos(now));
             return true;
         }
-        job.sending = dispatcher.requestSent(id, need(), nanos(now));
+        job.inFlight = dispatcher.requestSent(id, need(), nanos(now));
         if (upstream.busy < upstream.slots) {
             run(upstream, job, now);
         } else {
@@ -156,15 +156,15 @@
     private void end(long now) {
         while (!running.isEmpty() && running.peek().endsAt <= now) {
             Job job = running.poll();
-            UpstreamId id = job.sending.instance();
+            UpstreamId id = job.inFlight.instance();
             Upstream upstream = upstreams.get(id);
             upstream.busy--;
             if (!upstream.queue.isEmpty()) {
                 run(upstream, upstream.queue.removeFirst(), now);
             }
             Dispatcher dispatcher = dispatchers.get(job.host);
-            dispatcher.responseStarted(job.sending, nanos(now));
-            dispatcher.requestEnded(job.sending, nanos(now));
+            dispatcher.responseStarted(job.inFlight, nanos(now));
+            dispatcher.requestEnded(job.inFlight, nanos(now));
             dispatcher.updateReportedLoad(id, upstream.busy + upstream.queue.size(), nanos(now));
             inTime += now - job.arrivedAt <= OBJECTIVE ? 1 : 0;
         }
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/PlainServiceReplayTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/PlainServiceReplayTest.java
@@ -5,9 +5,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many hosts that each see little of a plain service choose as well as few that see much. While
- * they took what they were told last for what is there now, all that had heard the same chose the
- * same instance: 0.882 of the requests were in time with 89 hosts and 0.939 with 6, at 84% load.
+ * Checks that many hosts, which each see few requests of a service, choose instances as well as few
+ * hosts that see many. The failure: hosts took the last report as the current state, so that all
+ * that had received the same report chose the same instance; 0.882 of the requests were in time
+ * with 89 hosts and 0.939 with 6, at 84% load.
  */
 class PlainServiceReplayTest {
 
@@ -15,7 +16,7 @@
     private static final int INSTANCES = 3;
     private static final double SERVICE_TIME_SECONDS = 0.086;
 
-    /** A share of the requests that counts as a loss. */
+    /** A difference of the share of requests in time that counts as a loss. */
     private static final double TOLERANCE = 0.03;
 
     @Test
@@ -24,12 +25,12 @@
     }
 
     @Test
-    void manyHostsLoseNothingAtTheCrestOfAWave() {
+    void manyHostsLoseNothingAtPeakLoad() {
         assertThat(inTime(6, 0.84) - inTime(89, 0.84)).isLessThan(TOLERANCE);
     }
 
     @Test
-    void manyHostsLoseNothingNearlyFull() {
+    void manyHostsLoseNothingNearSaturation() {
         assertThat(inTime(6, 0.95) - inTime(89, 0.95)).isLessThan(TOLERANCE);
     }
 
@@ -37,7 +38,7 @@
         double perSecond = load * INSTANCES * PlainServiceReplay.slots() / SERVICE_TIME_SECONDS;
         double sum = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            sum += new PlainServiceReplay(seed, hosts, perSecond, INSTANCES).play().inTime();
+            sum += new PlainServiceReplay(seed, hosts, perSecond, INSTANCES).simulate().inTime();
         }
         return sum / SEEDS;
     }
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/PromptWindowTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/PromptWindowTest.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** How many unread prompts an engine gets from one host. */
+/** Tests how many prompts without an event an engine gets from one host. */
 class PromptWindowTest {
 
     private static final Duration OBJECTIVE = Duration.ofMillis(800);
@@ -13,7 +13,7 @@
     private final PromptWindow window = new PromptWindow();
 
     @Test
-    void quickEventsOpenIt() {
+    void fastEventsIncreaseTheWindow() {
         assertThat(admits(2)).isTrue();
         assertThat(admits(3)).isFalse();
         answer(100, 20);
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void slowEventsCloseItDownToOne() {
+    void slowEventsDecreaseTheWindowToOne() {
         answer(100, 20);
         answer(2000, 5);
         assertThat(admits(0)).isTrue();
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void stillSlowEventsMakeAHostPauseBetweenPrompts() {
+    void furtherSlowEventsMakeAHostPauseBetweenPrompts() {
         answer(100, 20);
         answer(2000, 20);
         assertThat(window.admits(0, false, Duration.ofSeconds(2).toNanos())).isFalse();
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void shorterObjectiveClosesItSooner() {
+    void shorterObjectiveDecreasesTheWindowSooner() {
         for (int i = 0; i < 3; i++) {
             window.recordFirstEvent(Duration.ofMillis(360).toNanos(), Duration.ofMillis(400));
         }
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void whatCanOnlyBeLateLeavesHalfOfIt() {
+    void latePromptsFillAtMostHalfOfTheWindow() {
         answer(100, 20);
         assertThat(window.admits(2, true, 0)).isTrue();
         assertThat(window.admits(4, true, 0)).isFalse();
@@ -56,14 +56,14 @@
     }
 
     @Test
-    void itNeverOpensWithoutBound() {
+    void windowHasAMaximum() {
         answer(50, 10_000);
         assertThat(admits(15)).isTrue();
         assertThat(admits(16)).isFalse();
     }
 
     @Test
-    void placesComeAsFastAsPromptsAreRead() {
+    void promptsPerSecondFollowsTheTimeToTheFirstEvent() {
         answer(500, 200);
         assertThat(window.promptsPerSecond()).isBetween(5.9, 6.1);
         answer(1000, 200);
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/ReportAggregatorTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/ReportAggregatorTest.java
@@ -12,40 +12,40 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Reports of many hosts, passed on as one. */
+/** Tests the aggregation of the reports of many hosts into one. */
 class ReportAggregatorTest {
 
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
     private static final UpstreamId ENGINE = new UpstreamId("e");
 
-    private final ReportAggregator sum = new ReportAggregator();
+    private final ReportAggregator aggregator = new ReportAggregator();
 
     @Test
-    void latestCountOfEachHostStands() {
-        sum.addWork(new HostId("a"), Map.of(ENGINE, new InstanceWork(3, 0, 0)), 0);
-        sum.addWork(new HostId("a"), Map.of(ENGINE, new InstanceWork(2, 0, 0)), 1);
-        sum.addWork(new HostId("b"), Map.of(ENGINE, new InstanceWork(5, 0, 0)), 1);
-        assertThat(sum.takeWork(2)).containsEntry(ENGINE, new InstanceWork(7, 0, 0));
-        assertThat(sum.takeWork(3)).containsEntry(ENGINE, new InstanceWork(7, 0, 0));
+    void latestCountOfEachHostCounts() {
+        aggregator.addWork(new HostId("a"), Map.of(ENGINE, new InstanceWork(3, 0, 0)), 0);
+        aggregator.addWork(new HostId("a"), Map.of(ENGINE, new InstanceWork(2, 0, 0)), 1);
+        aggregator.addWork(new HostId("b"), Map.of(ENGINE, new InstanceWork(5, 0, 0)), 1);
+        assertThat(aggregator.takeWork(2)).containsEntry(ENGINE, new InstanceWork(7, 0, 0));
+        assertThat(aggregator.takeWork(3)).containsEntry(ENGINE, new InstanceWork(7, 0, 0));
     }
 
     @Test
-    void hostThatIsSilentNoLongerCounts() {
-        sum.addWork(new HostId("a"), Map.of(ENGINE, new InstanceWork(3, 0, 0)), 0);
-        sum.addDemand(new HostId("a"), Map.of("m", new ReportAggregator.Demand(1, 4)), 0);
-        sum.takeDemand(0);
-        assertThat(sum.takeWork(2 * SECOND)).isEmpty();
-        assertThat(sum.takeDemand(2 * SECOND)).isEmpty();
+    void silentHostExpires() {
+        aggregator.addWork(new HostId("a"), Map.of(ENGINE, new InstanceWork(3, 0, 0)), 0);
+        aggregator.addDemand(new HostId("a"), Map.of("m", new ReportAggregator.Demand(1, 4)), 0);
+        aggregator.takeDemand(0);
+        assertThat(aggregator.takeWork(2 * SECOND)).isEmpty();
+        assertThat(aggregator.takeDemand(2 * SECOND)).isEmpty();
     }
 
     @Test
-    void whatWaitsIsToldUntilItWaitsNoMore() {
+    void waitingRequestsAreReportedWhileTheyWait() {
         HostId host = new HostId("a");
-        sum.addDemand(host, Map.of("m", new ReportAggregator.Demand(2, 4)), 0);
-        assertThat(sum.takeDemand(1)).containsEntry("m", new ReportAggregator.Demand(2, 4));
-        assertThat(sum.takeDemand(2)).containsEntry("m", new ReportAggregator.Demand(0, 4));
-        sum.addDemand(host, Map.of(), 3);
-        assertThat(sum.takeDemand(4)).isEmpty();
+        aggregator.addDemand(host, Map.of("m", new ReportAggregator.Demand(2, 4)), 0);
+        assertThat(aggregator.takeDemand(1)).containsEntry("m", new ReportAggregator.Demand(2, 4));
+        assertThat(aggregator.takeDemand(2)).containsEntry("m", new ReportAggregator.Demand(0, 4));
+        aggregator.addDemand(host, Map.of(), 3);
+        assertThat(aggregator.takeDemand(4)).isEmpty();
     }
 
     @Property(tries = 200)
@@ -54,8 +54,8 @@
         ReportAggregator relay = new ReportAggregator();
         int arrived = 0;
         int answered = 0;
-        int toldArrived = 0;
-        int toldAnswered = 0;
+        int reportedArrivals = 0;
+        int reportedAnswers = 0;
         for (int step = 0; step < 30; step++) {
             HostId host = new HostId("h" + random.nextInt(4));
             int arrivals = random.nextInt(5);
@@ -69,14 +69,14 @@
             relay.addWork(
                     host, Map.of(ENGINE, new InstanceWork(random.nextInt(3), answers, 0)), step);
             if (random.nextInt(3) == 0 || step == 29) {
-                Map<String, ReportAggregator.Demand> asked = new HashMap<>(relay.takeDemand(step));
-                toldArrived +=
-                        asked.getOrDefault("m", new ReportAggregator.Demand(0, 0)).arrivals();
+                Map<String, ReportAggregator.Demand> demand = new HashMap<>(relay.takeDemand(step));
+                reportedArrivals +=
+                        demand.getOrDefault("m", new ReportAggregator.Demand(0, 0)).arrivals();
                 Map<UpstreamId, InstanceWork> work = relay.takeWork(step);
-                toldAnswered += work.getOrDefault(ENGINE, new InstanceWork(0, 0, 0)).answered();
+                reportedAnswers += work.getOrDefault(ENGINE, new InstanceWork(0, 0, 0)).answered();
             }
         }
-        assertThat(toldArrived).isEqualTo(arrived);
-        assertThat(toldAnswered).isEqualTo(answered);
+        assertThat(reportedArrivals).isEqualTo(arrived);
+        assertThat(reportedAnswers).isEqualTo(answered);
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/ReportTimingTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/ReportTimingTest.java
@@ -12,36 +12,40 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Reports of many hosts stay within what a control host can take, and are believed until then. */
+/**
+ * Checks that the reports of many hosts stay within what a control host can handle, and remain
+ * valid until the next ones are due.
+ */
 class ReportTimingTest {
 
     private static final long MILLIS_PER_SECOND = 1000;
     private static final long MAX_PER_SECOND = 200;
 
     @Test
-    void fewHostsTellSevenTimesASecond() {
+    void fewHostsReportSevenTimesASecond() {
         assertThat(new ReportTiming(0).interval()).hasMillis(150);
         assertThat(new ReportTiming(30).interval()).hasMillis(150);
         assertThat(new ReportTiming(6).lifetime()).hasSeconds(1);
     }
 
     @Property
-    void noControlHostTakesMoreThanItCan(@ForAll @IntRange(min = 1, max = 1000) int hosts) {
+    void controlHostGetsNoMoreReportsThanItCanHandle(
+            @ForAll @IntRange(min = 1, max = 1000) int hosts) {
         long millis = new ReportTiming(hosts).interval().toMillis();
         assertThat(hosts * MILLIS_PER_SECOND).isLessThanOrEqualTo(MAX_PER_SECOND * millis);
     }
 
     @Property
-    void oneLostReportDoesNotSilenceAHost(@ForAll @IntRange(min = 1, max = 1000) int hosts) {
-        ReportTiming pace = new ReportTiming(hosts);
-        WorkReports works = new WorkReports();
-        works.setHostCount(hosts);
-        HostId teller = new HostId("teller");
+    void oneLostReportDoesNotExpireAHost(@ForAll @IntRange(min = 1, max = 1000) int hosts) {
+        ReportTiming timing = new ReportTiming(hosts);
+        WorkReports reports = new WorkReports();
+        reports.setHostCount(hosts);
+        HostId reporter = new HostId("reporter");
         UpstreamId engine = new UpstreamId("engine");
-        works.put(teller, Map.of(engine, 3), 0);
-        long afterOneLost = pace.interval().multipliedBy(2).toNanos();
-        assertThat(works.max(afterOneLost)).containsEntry(engine, 3);
-        assertThat(works.max(pace.lifetime().plus(Duration.ofMillis(1)).toNanos())).isEmpty();
+        reports.put(reporter, Map.of(engine, 3), 0);
+        long afterOneLost = timing.interval().multipliedBy(2).toNanos();
+        assertThat(reports.max(afterOneLost)).containsEntry(engine, 3);
+        assertThat(reports.max(timing.lifetime().plus(Duration.ofMillis(1)).toNanos())).isEmpty();
     }
 
     @Test
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/RestReplay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/RestReplay.java
@@ -21,9 +21,10 @@
 import java.util.TreeMap;
 
 /**
- * Callers of a plain service, spread over many hosts, while some of its instances are in need for a
- * while and turn away all that they get. Requests that are turned away go on elsewhere; those that
- * are turned back come again once, when they were told to. Times are in milliseconds.
+ * Simulates callers of a service that runs no models, spread over many hosts, while some of its
+ * instances are overloaded and reject all requests for a while. Rejected requests go on to other
+ * instances; callers that are refused retry once, at the time that they were given. Times are in
+ * milliseconds.
  */
 final class RestReplay {
 
@@ -38,33 +39,35 @@
     private static final long RECHECK_INTERVAL = 25;
     private static final long REJECTION_TIME = 1;
 
-    /** How instances in need answer. */
+    /** How overloaded instances answer. */
     enum Answer {
-        /** They ask for rest. */
+        /** They reject requests and ask for a rest. */
         REST,
-        /** They refuse, and say nothing of it. */
+        /** They reject requests without asking for a rest. */
         REJECT,
-        /** They fail each request at once. */
+        /** They answer each request with an error at once. */
         ERROR
     }
 
     /**
-     * What is played.
+     * The parameters of a simulation.
      *
-     * @param load share of the places that callers ask for
+     * @param load arrivals as a share of the capacity of all slots
      */
     record Plan(
             int hosts, int instances, int overloaded, double load, Answer answer, Duration rest) {}
 
     /**
-     * What became of it.
+     * The results.
      *
-     * @param inTime share of the callers that were served within the objective
-     * @param served share of those that were served at all
-     * @param inTimeInOverload the same as inTime, of callers that came while there was need
-     * @param rejected requests that instances in need have turned away or failed
-     * @param maxInRest the most requests of one host that came in one of its rests
-     * @param recoverySeconds seconds from the end of the need until those in need had their share
+     * @param inTime share of the callers that were served within the latency objective
+     * @param served share of the callers that were served at all
+     * @param inTimeInOverload the same as inTime, of callers that first arrived during the overload
+     * @param rejected requests that overloaded instances rejected or answered with an error
+     * @param maxInRest the maximum number of requests of one host that arrived during one of its
+     *     rests
+     * @param recoverySeconds seconds from the end of the overload until the overloaded instances
+     *     had their share of requests again
      */
     record Outcome(
             double inTime,
@@ -94,21 +97,21 @@
 
     private record Event(long at, long order, Runnable what) {}
 
-    /** One request of a caller, and the one it comes again with. */
+    /** One request of a caller, or its retry. */
     private static final class Job {
         private final int host;
         private final long firstArrivedAt;
         private final long arrivedAt;
         private final boolean retry;
         private Admission admission;
-        private final Set<UpstreamId> givenUp = new HashSet<>();
-        private InFlightRequest sending;
+        private final Set<UpstreamId> rejectedBy = new HashSet<>();
+        private InFlightRequest inFlight;
 
-        private Job(int host, long cameAt, long arrivedAt, boolean again) {
+        private Job(int host, long firstArrivedAt, long arrivedAt, boolean retry) {
             this.host = host;
-            this.firstArrivedAt = cameAt;
+            this.firstArrivedAt = firstArrivedAt;
             this.arrivedAt = arrivedAt;
-            this.retry = again;
+            this.retry = retry;
             this.admission = admission();
         }
 
@@ -117,7 +120,7 @@
         }
     }
 
-    /** One instance: so many run, a few more wait. */
+    /** One instance, which runs as many requests as it has slots and queues a few more. */
     private static final class Upstream {
         private final int slots;
         private final boolean overloaded;
@@ -125,9 +128,9 @@
         private final Deque<Job> queue = new ArrayDeque<>();
         private final Map<Integer, long[]> rests = new HashMap<>();
 
-        private Upstream(int slots, boolean needy) {
+        private Upstream(int slots, boolean overloaded) {
             this.slots = slots;
-            this.overloaded = needy;
+            this.overloaded = overloaded;
         }
     }
 
@@ -145,7 +148,7 @@
         }
     }
 
-    Outcome play() {
+    Outcome simulate() {
         double perMilli =
                 plan.load()
                         * plan.instances()
@@ -179,11 +182,11 @@
 
     private double recoverySeconds() {
         double fair = (double) plan.overloaded() / plan.instances();
-        for (Map.Entry<Long, int[]> second : shares.entrySet()) {
-            int[] counts = second.getValue();
-            boolean after = second.getKey() * 250 >= OVERLOAD_UNTIL;
+        for (Map.Entry<Long, int[]> period : shares.entrySet()) {
+            int[] counts = period.getValue();
+            boolean after = period.getKey() * 250 >= OVERLOAD_UNTIL;
             if (after && counts[1] >= 0.8 * fair * counts[0]) {
-                return (second.getKey() * 250 - OVERLOAD_UNTIL) / 1000.0;
+                return (period.getKey() * 250 - OVERLOAD_UNTIL) / 1000.0;
             }
         }
         return Double.NaN;
@@ -211,7 +214,7 @@
         Dispatcher dispatcher = dispatchers.get(job.host);
         Duration left = Duration.ofMillis(Math.max(0, job.arrivedAt + OBJECTIVE - now));
         Choice choice =
-                dispatcher.choose(need(), id -> !job.givenUp.contains(id), left, nanos(now));
+                dispatcher.choose(need(), id -> !job.rejectedBy.contains(id), left, nanos(now));
         return switch (job.admission.decide(choice, 0, nanos(now))) {
             case Admission.Verdict.Send(Instance instance, String why) -> {
                 send(job, instance.id(), now);
@@ -226,15 +229,17 @@
     }
 
     private void refuseCaller(Job job, Duration after, long now) {
-        long back = now + Math.max(1, after.toMillis());
-        if (!job.retry && back < LENGTH) {
-            at(back, () -> arrive(new Job(job.host, job.firstArrivedAt, back, true), back));
+        long retryAt = now + Math.max(1, after.toMillis());
+        if (!job.retry && retryAt < LENGTH) {
+            at(
+                    retryAt,
+                    () -> arrive(new Job(job.host, job.firstArrivedAt, retryAt, true), retryAt));
         }
     }
 
     private void send(Job job, UpstreamId id, long now) {
         Upstream upstream = upstreams.get(id);
-        job.sending = dispatchers.get(job.host).requestSent(id, need(), nanos(now));
+        job.inFlight = dispatchers.get(job.host).requestSent(id, need(), nanos(now));
         count(upstream, now);
         long[] rest = upstream.rests.get(job.host);
         if (rest != null && now >= rest[0] + 500 && now < rest[1]) {
@@ -263,8 +268,8 @@
     private void answerOverloaded(Job job, UpstreamId id, long now) {
         if (plan.answer() == Answer.ERROR) {
             Dispatcher dispatcher = dispatchers.get(job.host);
-            dispatcher.errorResponseStarted(job.sending, true);
-            dispatcher.requestEnded(job.sending, nanos(now));
+            dispatcher.errorResponseStarted(job.inFlight, true);
+            dispatcher.requestEnded(job.inFlight, nanos(now));
             dispatcher.requestFailed(id);
             return;
         }
@@ -285,12 +290,12 @@
 
     private void reject(Job job, UpstreamId id, Optional<Duration> rest, long now) {
         Dispatcher dispatcher = dispatchers.get(job.host);
-        dispatcher.errorResponseStarted(job.sending, false);
+        dispatcher.errorResponseStarted(job.inFlight, false);
         rest.ifPresent(time -> dispatcher.restRequested(id, time, nanos(now)));
-        dispatcher.requestEnded(job.sending, nanos(now));
+        dispatcher.requestEnded(job.inFlight, nanos(now));
         if (rest.isEmpty()) {
             dispatcher.requestRejected(id, need(), nanos(now));
-            job.givenUp.add(id);
+            job.rejectedBy.add(id);
         }
         job.admission = job.admission();
         if (!isSettled(job, now)) {
@@ -314,15 +319,15 @@
             run(upstream, upstream.queue.removeFirst(), now);
         }
         Dispatcher dispatcher = dispatchers.get(job.host);
-        UpstreamId id = job.sending.instance();
-        dispatcher.responseStarted(job.sending, nanos(now));
-        dispatcher.requestEnded(job.sending, nanos(now));
+        UpstreamId id = job.inFlight.instance();
+        dispatcher.responseStarted(job.inFlight, nanos(now));
+        dispatcher.requestEnded(job.inFlight, nanos(now));
         dispatcher.requestSucceeded(id);
         dispatcher.updateReportedLoad(id, upstream.busy + upstream.queue.size(), nanos(now));
         served++;
-        boolean good = now - job.firstArrivedAt <= OBJECTIVE;
-        inTime += good ? 1 : 0;
-        inTimeInOverload += good && isOverloadTime(job.firstArrivedAt) ? 1 : 0;
+        boolean met = now - job.firstArrivedAt <= OBJECTIVE;
+        inTime += met ? 1 : 0;
+        inTimeInOverload += met && isOverloadTime(job.firstArrivedAt) ? 1 : 0;
     }
 
     private void exchangeReports(long now) {
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/RestingDispatchTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/RestingDispatchTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Where requests go while an instance wants nothing from their host. */
+/**
+ * Tests where requests go while an instance has asked their host for a rest, that is, to send
+ * nothing for a while.
+ */
 class RestingDispatchTest {
 
     private static final long NOW = Duration.ofSeconds(100).toNanos();
@@ -34,7 +37,7 @@
     private final Dispatcher dispatcher = Dispatchers.of(new Random(1));
 
     @BeforeEach
-    void oneWantsRest() {
+    void startRest() {
         ModelWeights weights =
                 new ModelWeights(
                         MODEL,
@@ -68,9 +71,9 @@
     }
 
     @Test
-    void requestThatTheRestOutlastsIsRefusedAtOnceAndToldOfItsEnd() {
+    void requestThatTheRestOutlastsIsRefusedAtOnceWithTheTimeOfItsEnd() {
         Choice choice = choice();
-        Admission.Verdict verdict = patient(Duration.ofSeconds(1)).decide(choice, 0, NOW);
+        Admission.Verdict verdict = admissionWithin(Duration.ofSeconds(1)).decide(choice, 0, NOW);
         assertThat(verdict).isInstanceOf(Admission.Verdict.GiveUp.class);
         Duration after = ((Admission.Verdict.GiveUp) verdict).retryAfter();
         Duration first = dispatcher.retryAfter(choice, after, NOW);
@@ -82,42 +85,42 @@
     void requestWaitsForACopyElsewhereThatComesBeforeTheRestEnds() {
         dispatcher.updateInstance(instance("bb", 1, "other"));
         dispatcher.loadStarted(new UpstreamId("bb"), MODEL, Duration.ofMillis(500), NOW);
-        assertThat(patient(Duration.ofSeconds(1)).decide(choice(), 0, NOW))
+        assertThat(admissionWithin(Duration.ofSeconds(1)).decide(choice(), 0, NOW))
                 .isEqualTo(new Admission.Verdict.Wait(WaitReason.MODEL_LOADING));
     }
 
     @Test
-    void callerIsToldOfACopyElsewhereThatComesBeforeTheRestEnds() {
+    void retryTimeIsThatOfACopyElsewhereThatComesBeforeTheRestEnds() {
         dispatcher.updateInstance(instance("bb", 1, "other"));
         dispatcher.loadStarted(new UpstreamId("bb"), MODEL, Duration.ofSeconds(2), NOW);
         Choice choice = choice();
-        Admission hurried = new Admission(NOW + Duration.ofSeconds(1).toNanos());
-        Admission.Verdict verdict = hurried.decide(choice, 0, NOW);
+        Admission admission = new Admission(NOW + Duration.ofSeconds(1).toNanos());
+        Admission.Verdict verdict = admission.decide(choice, 0, NOW);
         Duration after = ((Admission.Verdict.GiveUp) verdict).retryAfter();
         assertThat(dispatcher.retryAfter(choice, after, NOW)).isLessThan(REST);
     }
 
     @Test
-    void requestWaitsForItsTurnAtAColdInstanceWhileTheOtherRests() {
+    void requestWaitsForATimeSlotAtAColdInstanceWhileTheOtherRests() {
         dispatcher.setColdRequestsPerSecond(Map.of(SERVICE, 0.5));
         dispatcher.setHostCount(50);
         dispatcher.updateInstance(cold("cc", Duration.ofSeconds(20)));
         Need plain = new Need(SERVICE, Optional.empty(), Optional.empty(), List.of(), 0, 0, 1);
         Choice choice = dispatcher.choose(plain, id -> true, false, NOW);
-        assertThat(patient(Duration.ofSeconds(1)).decide(choice, 0, NOW))
+        assertThat(admissionWithin(Duration.ofSeconds(1)).decide(choice, 0, NOW))
                 .isEqualTo(new Admission.Verdict.Wait(WaitReason.FULL));
     }
 
     @Test
-    void suspectIsNotSentIntoARestEither() {
-        SuspectDispatcher apart = new SuspectDispatcher(dispatcher, new Trials());
+    void suspectIsNotSentToARestingInstance() {
+        SuspectDispatcher suspects = new SuspectDispatcher(dispatcher, new Trials());
         RequestDigest digest = RequestDigest.of("GET", "a.example", "/x", new byte[0]);
-        assertThat(apart.choose(digest, NEED, id -> true, false, NOW))
+        assertThat(suspects.choose(digest, NEED, id -> true, false, NOW))
                 .isInstanceOf(Choice.Resting.class);
     }
 
     @Test
-    void requestThatWasChosenBeforeTheRestIsNotWritten() {
+    void requestIsNotWrittenAfterTheRestBegan() {
         dispatcher.updateInstance(instance("bb", 1, "m"));
         UpstreamId other = new UpstreamId("bb");
         assertThat(dispatcher.mayWrite(other, NOW)).isTrue();
@@ -126,25 +129,25 @@
     }
 
     @Test
-    void requestThatWasChosenBeforeTheInstanceLeavesIsNotWritten() {
+    void requestIsNotWrittenToADrainingInstance() {
         dispatcher.updateInstance(instance("bb", 1, "m").withState(InstanceState.DRAINING));
         assertThat(dispatcher.mayWrite(new UpstreamId("bb"), NOW)).isFalse();
     }
 
     @Test
-    void refusalTeachesNothingOfHowFastAnInstanceIs() {
+    void rejectionsAreNotSampledAsAnswers() {
         dispatcher.updateInstance(instance("bb", 1, "m"));
         UpstreamId other = new UpstreamId("bb");
         for (int count = 0; count < 20; count++) {
-            InFlightRequest sending = dispatcher.requestSent(other, NEED, NOW);
-            dispatcher.errorResponseStarted(sending, false);
-            dispatcher.requestEnded(sending, NOW + Duration.ofMillis(1).toNanos());
+            InFlightRequest inFlight = dispatcher.requestSent(other, NEED, NOW);
+            dispatcher.errorResponseStarted(inFlight, false);
+            dispatcher.requestEnded(inFlight, NOW + Duration.ofMillis(1).toNanos());
         }
         assertThat(dispatcher.takeWork()).doesNotContainKey(other);
         assertThat(dispatcher.occupancy(other, NOW)).isZero();
     }
 
-    private static Admission patient(Duration left) {
+    private static Admission admissionWithin(Duration left) {
         return new Admission(NOW + Duration.ofSeconds(4).toNanos(), NOW + left.toNanos());
     }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/RetryLimiterTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/RetryLimiterTest.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** How many resends one host allows itself for each service. */
+/** Tests how many retries one host allows itself for each service. */
 class RetryLimiterTest {
 
     private static final ServiceName BUSY = new ServiceName("busy");
@@ -15,31 +15,31 @@
     private static final double SLACK = 20;
     private static final int HOSTS = 4;
 
-    private final RetryLimiter allowance =
+    private final RetryLimiter limiter =
             new RetryLimiter(RATIO, SLACK, HOSTS, Duration.ofSeconds(10));
 
     @Test
-    void smallServiceInNeedGetsNoResendsThatABusyOneLeavesUnused() {
+    void failingSmallServiceGetsNoRetriesThatABusyOneLeavesUnused() {
         for (int count = 0; count < 1000; count++) {
-            allowance.recordRequest(BUSY, 0);
+            limiter.recordRequest(BUSY, 0);
         }
         for (int count = 0; count < 20; count++) {
-            allowance.recordRequest(SMALL, 0);
+            limiter.recordRequest(SMALL, 0);
         }
         assertThat(taken(SMALL)).isLessThanOrEqualTo((int) (RATIO * 20 + SLACK / HOSTS));
         assertThat(taken(BUSY)).isGreaterThan(100);
     }
 
     @Test
-    void figureIsThatOfTheServiceWithTheFewestLeft() {
-        allowance.recordRequest(BUSY, 0);
+    void remainingIsThatOfTheServiceWithTheFewest() {
+        limiter.recordRequest(BUSY, 0);
         taken(SMALL);
-        assertThat(allowance.remaining()).isLessThan(1);
+        assertThat(limiter.remaining()).isLessThan(1);
     }
 
     private int taken(ServiceName service) {
         int taken = 0;
-        while (allowance.tryTake(service, 0)) {
+        while (limiter.tryTake(service, 0)) {
             taken++;
         }
         return taken;
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/SuspectDispatcherTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/SuspectDispatcherTest.java
@@ -17,8 +17,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Where requests go that may have ended an instance. A dozen that shared an instance come again at
- * once, at several hosts; if they met again, nobody could tell which of them ended the next one.
+ * Tests where suspects go: requests that may have crashed an instance.
+ *
+ * <p>A dozen requests that shared a crashed instance are retried at once, at several hosts. If they
+ * met at one instance again, its crash could not be attributed to one of them.
  */
 class SuspectDispatcherTest {
 
@@ -30,7 +32,7 @@
     private final SuspectDispatcher host = host(trials, 1);
 
     @Test
-    void copiesOfOneSuspectMeetAtOneInstanceFromAnyHost() {
+    void copiesOfOneSuspectGoToOneInstanceFromAnyHost() {
         Set<UpstreamId> instances = new HashSet<>();
         for (int seed = 1; seed <= 20; seed++) {
             instances.add(sentTo(host(new Trials(), seed), suspect("one")));
@@ -48,7 +50,7 @@
     }
 
     @Test
-    void suspectsOfOneHostNeverShareAnInstanceAndTheLastOneWaits() {
+    void suspectsOfOneHostNeverShareAnInstance() {
         Set<UpstreamId> instances = new HashSet<>();
         for (int number = 0; number < 4; number++) {
             RequestDigest suspect = suspect("suspect " + number);
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/WaitBudgetTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/WaitBudgetTest.java
@@ -5,45 +5,45 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** How long a request waits. */
+/** Tests how long a request waits. */
 class WaitBudgetTest {
 
     private static final long MILLI = Duration.ofMillis(1).toNanos();
     private static final Duration LOAD = Duration.ofMillis(2600);
 
-    private final WaitBudget patience = new WaitBudget(4650 * MILLI);
+    private final WaitBudget budget = new WaitBudget(4650 * MILLI);
 
     @Test
-    void whatCannotComeInTimeIsNotAwaited() {
-        assertThat(patience.isExhausted(Duration.ofSeconds(9), 0)).isTrue();
+    void doesNotWaitForWhatCannotArriveInTime() {
+        assertThat(budget.isExhausted(Duration.ofSeconds(9), 0)).isTrue();
     }
 
     @Test
-    void loadThatMayBeNearlyDoneIsAwaitedOn() {
-        assertThat(patience.isExhausted(LOAD, 0)).isFalse();
-        assertThat(patience.isExhausted(LOAD, 2100 * MILLI)).isFalse();
-        assertThat(patience.isExhausted(LOAD, 4600 * MILLI)).isFalse();
-        assertThat(patience.isExhausted(LOAD, 4650 * MILLI)).isTrue();
+    void keepsWaitingForALoadThatMayBeNearlyDone() {
+        assertThat(budget.isExhausted(LOAD, 0)).isFalse();
+        assertThat(budget.isExhausted(LOAD, 2100 * MILLI)).isFalse();
+        assertThat(budget.isExhausted(LOAD, 4600 * MILLI)).isFalse();
+        assertThat(budget.isExhausted(LOAD, 4650 * MILLI)).isTrue();
     }
 
     @Test
-    void twiceTheExpectedTimeIsEnough() {
-        assertThat(patience.isExhausted(Duration.ofMillis(500), 0)).isFalse();
-        assertThat(patience.isExhausted(Duration.ofMillis(500), 990 * MILLI)).isFalse();
-        assertThat(patience.isExhausted(Duration.ofMillis(500), 1000 * MILLI)).isTrue();
+    void stopsAfterTwiceTheExpectedTime() {
+        assertThat(budget.isExhausted(Duration.ofMillis(500), 0)).isFalse();
+        assertThat(budget.isExhausted(Duration.ofMillis(500), 990 * MILLI)).isFalse();
+        assertThat(budget.isExhausted(Duration.ofMillis(500), 1000 * MILLI)).isTrue();
     }
 
     @Test
-    void anotherCauseThatTakesLongerIsAwaitedInItsTurn() {
-        assertThat(patience.isExhausted(Duration.ofMillis(500), 0)).isFalse();
-        assertThat(patience.isExhausted(LOAD, 900 * MILLI)).isFalse();
-        assertThat(patience.isExhausted(LOAD, 3000 * MILLI)).isFalse();
+    void longerExpectedWaitExtendsTheBudget() {
+        assertThat(budget.isExhausted(Duration.ofMillis(500), 0)).isFalse();
+        assertThat(budget.isExhausted(LOAD, 900 * MILLI)).isFalse();
+        assertThat(budget.isExhausted(LOAD, 3000 * MILLI)).isFalse();
     }
 
     @Test
-    void placeThatMayComeAtAnyMomentIsAwaitedToTheEnd() {
-        assertThat(patience.isExhausted(Duration.ZERO, 0)).isFalse();
-        assertThat(patience.isExhausted(Duration.ZERO, 4600 * MILLI)).isFalse();
-        assertThat(patience.isExhausted(Duration.ZERO, 4650 * MILLI)).isTrue();
+    void waitsForSlotUntilTheDeadline() {
+        assertThat(budget.isExhausted(Duration.ZERO, 0)).isFalse();
+        assertThat(budget.isExhausted(Duration.ZERO, 4600 * MILLI)).isFalse();
+        assertThat(budget.isExhausted(Duration.ZERO, 4650 * MILLI)).isTrue();
     }
 }
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/WorkReportsTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/WorkReportsTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What hosts tell each other of the work at instances. */
+/** Tests the work reports that hosts exchange. */
 class WorkReportsTest {
 
     private static final UpstreamId ENGINE = new UpstreamId("e");
@@ -20,7 +20,7 @@
     private final WorkReports reports = new WorkReports();
 
     @Test
-    void hostIsToldTheWorkOfAllOthers() {
+    void sumExcludesTheHostItself() {
         reports.put(ONE, Map.of(ENGINE, 5), NOW);
         reports.put(TWO, Map.of(ENGINE, 7), NOW);
         reports.put(THREE, Map.of(ENGINE, 11), NOW);
@@ -28,21 +28,21 @@
     }
 
     @Test
-    void newerReportTakesThePlaceOfTheOlder() {
+    void newerReportReplacesTheOlder() {
         reports.put(ONE, Map.of(ENGINE, 5), NOW);
         reports.put(ONE, Map.of(), NOW);
         assertThat(reports.sumExcluding(TWO, NOW)).isEmpty();
     }
 
     @Test
-    void hostThatIsSilentCountsNoMore() {
+    void silentHostExpires() {
         reports.put(ONE, Map.of(ENGINE, 5), NOW);
         long later = NOW + Duration.ofMillis(1100).toNanos();
         assertThat(reports.sumExcluding(TWO, later)).isEmpty();
     }
 
     @Test
-    void ofSeveralViewsTheFullestCounts() {
+    void maxIsTheHighestReportOfAnyHost() {
         reports.put(ONE, Map.of(ENGINE, 5), NOW);
         reports.put(TWO, Map.of(), NOW);
         assertThat(reports.max(NOW)).isEqualTo(Map.of(ENGINE, 5));
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/package-info.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the choice of instances. */
+/** Tests of instance selection, admission and retries. */
 package io.stackhall.core.dispatch;
