--- a/stackhall-core/src/main/java/io/stackhall/core/dispatch/Dispatcher.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/Dispatcher.java
@@ -235,7 +235,7 @@
     }
 
     /** Records that an instance has asked this host to send nothing for the given time. */
-    public void restRequested(UpstreamId id, Duration time, long now) {
+    public void recordRest(UpstreamId id, Duration time, long now) {
         if (instances.containsKey(id)) {
             backpressure.wantsRest(id, time, now);
         }
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/BackpressureProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/BackpressureProperties.java
@@ -136,7 +136,7 @@
             UpstreamId id = sending.instance();
             dispatcher.errorResponseStarted(sending, false);
             Duration rest = Duration.ofMillis(random.nextLong(3000));
-            dispatcher.restRequested(id, rest, now);
+            dispatcher.recordRest(id, rest, now);
             restEnds.merge(id, now + rest.toNanos(), Math::max);
         }
 
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/RestReplay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/RestReplay.java
@@ -291,7 +291,7 @@
     private void reject(Job job, UpstreamId id, Optional<Duration> rest, long now) {
         Dispatcher dispatcher = dispatchers.get(job.host);
         dispatcher.errorResponseStarted(job.inFlight, false);
-        rest.ifPresent(time -> dispatcher.restRequested(id, time, nanos(now)));
+        rest.ifPresent(time -> dispatcher.recordRest(id, time, nanos(now)));
         dispatcher.requestEnded(job.inFlight, nanos(now));
         if (rest.isEmpty()) {
             dispatcher.requestRejected(id, need(), nanos(now));
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/RestingDispatchTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/RestingDispatchTest.java
@@ -51,7 +51,7 @@
                 new EngineSpec(4, 1000, 300, 2, 1, 200, 600, EngineSpec.byName(List.of(weights)));
         dispatcher.setEngines(Map.of(SERVICE, spec));
         dispatcher.updateInstance(instance("a", 1, "m"));
-        dispatcher.restRequested(RESTING, REST, NOW);
+        dispatcher.recordRest(RESTING, REST, NOW);
     }
 
     @Test
@@ -124,7 +124,7 @@
         dispatcher.updateInstance(instance("bb", 1, "m"));
         UpstreamId other = new UpstreamId("bb");
         assertThat(dispatcher.mayWrite(other, NOW)).isTrue();
-        dispatcher.restRequested(other, REST, NOW);
+        dispatcher.recordRest(other, REST, NOW);
         assertThat(dispatcher.mayWrite(other, NOW)).isFalse();
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamWords.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamWords.java
@@ -74,7 +74,7 @@
 
     private void rests(UpstreamId id, Duration time) {
         logger.info("upstream.rest-heard id={} restMs={}", id, time.toMillis());
-        dispatcher.restRequested(id, time, BootClock.nanos());
+        dispatcher.recordRest(id, time, BootClock.nanos());
     }
 
     private void unreadable(UpstreamId id, Finding finding) {
