--- /dev/null
+++ b/stackhall-core/src/main/java/io/stackhall/core/dispatch/EngineSelector.java
@@ -0,0 +1,171 @@
+package io.stackhall.core.dispatch;
+
+import io.stackhall.core.fleet.Instance;
+import io.stackhall.core.id.ModelId;
+import io.stackhall.core.id.UpstreamId;
+import io.stackhall.core.id.ZoneId;
+import io.stackhall.core.route.EngineSpec;
+import io.stackhall.core.route.ModelWeights;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Function;
+import java.util.random.RandomGenerator;
+
+/**
+ * Picks an engine that holds the requested model, by the prompt tokens that it has yet to process.
+ */
+final class EngineSelector {
+
+    /**
+     * A running request slows down a batch about as much as this many prompt tokens delay it once.
+     */
+    private static final double TOKENS_PER_RUNNING = 60;
+
+    /** An instance in another zone is chosen if it has this many fewer prompt tokens to process. */
+    private static final double OTHER_ZONE_TOKENS = 150;
+
+    /**
+     * An engine without a first event for this long counts as silent, and is avoided while other
+     * engines answer.
+     */
+    private static final long SILENCE_NANOS = Duration.ofMillis(1500).toNanos();
+
+    private static final double FAILURE_WEIGHT = 6;
+
+    private final ZoneId zone;
+    private final RandomGenerator random;
+    private final Function<UpstreamId, InstanceLoad> loads;
+    private final ResidencyEstimate residency;
+
+    EngineSelector(
+            ZoneId zone,
+            RandomGenerator random,
+            Function<UpstreamId, InstanceLoad> loads,
+            ResidencyEstimate residency) {
+        this.zone = zone;
+        this.random = random;
+        this.loads = loads;
+        this.residency = residency;
+    }
+
+    Choice select(
+            DispatchRequest request, List<Instance> serving, EngineSpec engine, PrefillRate rate) {
+        ModelId model = request.need().model().orElseThrow();
+        List<Instance> holders = new ArrayList<>();
+        for (Instance instance : serving) {
+            boolean reported = instance.copyOf(model).isPresent();
+            if (reported
+                    && residency.holds(instance, model, Optional.empty(), true, request.now())) {
+                holders.add(instance);
+            }
+        }
+        if (holders.isEmpty()) {
+            return modelMissing(model, serving, engine, request.now());
+        }
+        List<Instance> responsive =
+                holders.stream()
+                        .filter(holder -> !isUnresponsive(holder.id(), request.now()))
+                        .toList();
+        return selectAmong(responsive.isEmpty() ? holders : responsive, request, engine, rate);
+    }
+
+    private Choice selectAmong(
+            List<Instance> holders, DispatchRequest request, EngineSpec engine, PrefillRate rate) {
+        Candidates ready = new Candidates();
+        Candidates withoutAdapter = new Candidates();
+        double total = 0;
+        for (Instance instance : holders) {
+            InstanceLoad load = loads.apply(instance.id());
+            total += requestsPerSecond(load, request, engine, rate);
+            if (admits(load, request, engine, rate)) {
+                Candidates group = hasAdapter(instance, request) ? ready : withoutAdapter;
+                group.add(instance, score(instance, load, request, rate), request.suspect());
+            }
+        }
+        if (!ready.isEmpty()) {
+            return new Choice.Send(ready.lowestScore(random), "resident");
+        }
+        if (!withoutAdapter.isEmpty()) {
+            return new Choice.AdapterMissing(withoutAdapter.lowestScore(random));
+        }
+        return new Choice.Full(total);
+    }
+
+    /**
+     * Returns whether an engine may get one more prompt from this host. Many hosts with a few
+     * prompts each could fill an engine for seconds before one of them notices a slow answer; the
+     * unread tokens that hosts report to each other bound them together.
+     */
+    private static boolean admits(
+            InstanceLoad load, DispatchRequest request, EngineSpec engine, PrefillRate rate) {
+        long now = request.now();
+        return load.occupancy(now) < engine.slots()
+                && load.admitsPrompt(request.isLate(), now)
+                && rate.meetsObjective(
+                        load.unreadTokens(rate, now),
+                        load.uncachedTokens(request.need()),
+                        request.objective(),
+                        request.remaining());
+    }
+
+    /**
+     * Returns how many requests per second this host can send to an engine, limited by its own
+     * answers and slots, and by its share of the engine's prompt processing rate. Without the
+     * latter, requests that were refused in an overload had waited 4.6 s of 4.65 s, now 1.8 s
+     * (simulation with 16 hosts, 20 seeds).
+     */
+    private static double requestsPerSecond(
+            InstanceLoad load, DispatchRequest request, EngineSpec engine, PrefillRate rate) {
+        double prefill =
+                rate.promptsPerSecond(request.need().promptTokens())
+                        * load.shareOfUnread(rate, request.need().promptTokens(), request.now());
+        return Math.min(load.requestsPerSecond(engine.slots(), request.now()), prefill);
+    }
+
+    private boolean isUnresponsive(UpstreamId id, long now) {
+        InstanceLoad load = loads.apply(id);
+        return load.inBackoff(now) || load.isSilentFor(SILENCE_NANOS, now);
+    }
+
+    private Choice modelMissing(
+            ModelId model, List<Instance> serving, EngineSpec engine, long now) {
+        Optional<ModelWeights> weights = engine.model(model);
+        if (weights.isEmpty()) {
+            return new Choice.NobodyServes();
+        }
+        Duration load = weights.get().loadFromStore();
+        long soonest = Long.MAX_VALUE;
+        for (Instance instance : serving) {
+            Duration here = weights.get().loadTime(instance.inHostMemory(), instance.onDisk());
+            load = here.compareTo(load) < 0 ? here : load;
+            soonest = Math.min(soonest, residency.remainingLoadNanos(instance.id(), model, now));
+        }
+        return soonest == Long.MAX_VALUE
+                ? new Choice.ModelMissing(load)
+                : new Choice.ModelComing(Duration.ofNanos(soonest));
+    }
+
+    private double score(
+            Instance instance, InstanceLoad load, DispatchRequest request, PrefillRate rate) {
+        double tokens =
+                load.unreadTokens(rate, request.now()) + load.uncachedTokens(request.need());
+        tokens += TOKENS_PER_RUNNING * load.occupancy(request.now());
+        tokens += instance.zone().equals(zone) ? 0 : OTHER_ZONE_TOKENS;
+        return tokens * (1 + FAILURE_WEIGHT * load.failureShare());
+    }
+
+    private boolean hasAdapter(Instance instance, DispatchRequest request) {
+        Optional<String> adapter = request.need().adapter();
+        if (adapter.isEmpty()) {
+            return true;
+        }
+        ModelId model = request.need().model().orElseThrow();
+        boolean reported =
+                instance.copyOf(model)
+                        .filter(copy -> copy.adapters().contains(adapter.get()))
+                        .isPresent();
+        return residency.holds(instance, model, adapter, reported, request.now());
+    }
+}
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/BackpressureProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/BackpressureProperties.java
@@ -28,20 +28,23 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Rests, limits and leaving at one host, with words that come late or out of order. */
+/**
+ * Random sequences of rests, limits and drains at one host, with notices that arrive late or out of
+ * order.
+ */
 class BackpressureProperties {
 
     private static final int STEPS = 400;
     private static final long LONGEST_PAUSE_MILLIS = 60;
 
     @Property(tries = 300)
-    void nothingIsSentInARestOrAfterLeavingAndNobodyIsRefusedWhileAnotherHasRoom(
+    void neitherRestingNorDrainingInstancesGetRequestsAndFreeOnesAreUsed(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int instances) {
-        new Play(seed, instances).run();
+        new Scenario(seed, instances).run();
     }
 
-    /** One host, and what upstreams have told it. */
-    private static final class Play {
+    /** One host, and what upstreams have asked of it. */
+    private static final class Scenario {
         private final Random random;
         private final LimitedUpstreams limits;
         private final Dispatcher dispatcher;
@@ -49,12 +52,12 @@
         private final List<UpstreamId> ids;
         private final Map<UpstreamId, Long> restEnds = new HashMap<>();
         private final Set<UpstreamId> limited = new HashSet<>();
-        private final Set<UpstreamId> leaving = new HashSet<>();
+        private final Set<UpstreamId> draining = new HashSet<>();
         private long now = Duration.ofSeconds(100).toNanos();
         private long sequence;
-        private long words;
+        private long revisions;
 
-        Play(long seed, int instances) {
+        Scenario(long seed, int instances) {
             random = new Random(seed);
             limits = new LimitedUpstreams(new HostId("entry-1"), random);
             dispatcher =
@@ -75,7 +78,7 @@
                 UpstreamId id = ids.get(random.nextInt(ids.size()));
                 switch (random.nextInt(12)) {
                     case 0 -> heartbeat(id);
-                    case 1 -> leaves(id);
+                    case 1 -> drain(id);
                     case 2 -> limit(id);
                     default -> request();
                 }
@@ -84,22 +87,23 @@
 
         private void heartbeat(UpstreamId id) {
             Instance report = instance(id.value(), ++sequence, "m");
-            table.merge(report, now).forEach(dispatcher::changed);
+            table.merge(report, now).forEach(dispatcher::updateInstance);
         }
 
-        private void leaves(UpstreamId id) {
+        private void drain(UpstreamId id) {
             if (random.nextInt(8) == 0) {
-                leaving.add(id);
-                table.drain(id).forEach(dispatcher::changed);
+                draining.add(id);
+                table.drain(id).forEach(dispatcher::updateInstance);
             }
         }
 
         private void limit(UpstreamId id) {
-            boolean names = random.nextBoolean();
-            OptionalDouble figure = names ? OptionalDouble.of(0.5) : OptionalDouble.empty();
-            if (limits.receive(new LimitUpdate(id, figure, false, new LimitRevision(1, ++words)))) {
+            boolean limitSet = random.nextBoolean();
+            OptionalDouble limit = limitSet ? OptionalDouble.of(0.5) : OptionalDouble.empty();
+            if (limits.receive(
+                    new LimitUpdate(id, limit, false, new LimitRevision(1, ++revisions)))) {
                 limited.remove(id);
-                if (names) {
+                if (limitSet) {
                     limited.add(id);
                 }
             }
@@ -111,33 +115,35 @@
             if (choice instanceof Choice.Send send) {
                 sent(send.instance().id(), need);
             } else {
-                assertThat(ids).as("free of any word, but %s", choice).noneMatch(this::isFree);
+                assertThat(ids)
+                        .as("no unrestricted instance, but %s", choice)
+                        .noneMatch(this::isFree);
             }
         }
 
         private void sent(UpstreamId id, Need need) {
-            assertThat(leaving).doesNotContain(id);
+            assertThat(draining).doesNotContain(id);
             assertThat(restEnds.getOrDefault(id, now)).isLessThanOrEqualTo(now);
-            Sending sending = dispatcher.began(id, need, now);
+            InFlightRequest sending = dispatcher.requestSent(id, need, now);
             if (random.nextInt(3) == 0) {
-                turnAway(sending);
+                reject(sending);
             } else {
-                dispatcher.answered(sending, now);
+                dispatcher.responseStarted(sending, now);
             }
-            dispatcher.ended(sending, now);
+            dispatcher.requestEnded(sending, now);
         }
 
-        private void turnAway(Sending sending) {
+        private void reject(InFlightRequest sending) {
             UpstreamId id = sending.instance();
-            dispatcher.answeredInFailure(sending, false);
+            dispatcher.errorResponseStarted(sending, false);
             Duration rest = Duration.ofMillis(random.nextLong(3000));
-            dispatcher.wantsRest(id, rest, now);
+            dispatcher.recordRest(id, rest, now);
             restEnds.merge(id, now + rest.toNanos(), Math::max);
         }
 
-        /** Returns whether an instance has never asked for anything, so that it takes requests. */
+        /** Returns whether an instance has never asked for anything, and so accepts requests. */
         private boolean isFree(UpstreamId id) {
-            return !leaving.contains(id) && !limited.contains(id) && !restEnds.containsKey(id);
+            return !draining.contains(id) && !limited.contains(id) && !restEnds.containsKey(id);
         }
     }
 }
