--- a/stackhall-server/src/main/java/io/stackhall/server/callers/ApiHandler.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/ApiHandler.java
@@ -229,7 +229,7 @@
         if (Neighbours.isNeighbour(announcement.id())) {
             String message = announcement.id() + " is a name kept for hosts";
             reject(sink, new RequestReader.Rejection(400, "announcement", message));
-        } else if (upstreams.announced(announcement)) {
+        } else if (upstreams.receiveAnnouncement(announcement)) {
             sink.json(200, bytes("{}"));
         } else {
             reject(
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/Exchange.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/Exchange.java
@@ -61,7 +61,7 @@
 
     /** Runs to the end. */
     ExchangeResult run(AnswerSink sink) {
-        CompletableFuture<TrafficDriver.Decision> decision = traffic.arrive(arrival);
+        CompletableFuture<TrafficDriver.Decision> decision = traffic.submit(arrival);
         while (true) {
             switch (await(decision)) {
                 case TrafficDriver.Decision.GiveUp giveUp -> {
@@ -75,7 +75,7 @@
                             return result;
                         }
                         case Attempt.Failed(AttemptResult ending, RequestOutcome outcome) ->
-                                decision = traffic.failed(arrival.id(), ending, outcome);
+                                decision = traffic.recordFailure(arrival.id(), ending, outcome);
                     }
                 }
             }
@@ -185,13 +185,13 @@
 
     private Attempt answered(int status, AttemptResult ending) {
         RequestOutcome outcome = new RequestOutcome.Ran();
-        traffic.ended(arrival.id(), ending, outcome);
+        traffic.recordCompletion(arrival.id(), ending, outcome);
         return new Attempt.Ended(new ExchangeResult.Answered(status, outcome));
     }
 
     private Attempt broken(String reason) {
         RequestOutcome outcome = new RequestOutcome.Unknown(reason);
-        traffic.ended(arrival.id(), AttemptResult.FAILED, outcome);
+        traffic.recordCompletion(arrival.id(), AttemptResult.FAILED, outcome);
         return new Attempt.Ended(new ExchangeResult.Broken(reason, outcome));
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/node/ConfigExchange.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/ConfigExchange.java
@@ -24,15 +24,15 @@
  */
 public final class ConfigExchange {
 
-    private static final long FORGET_NANOS = TimeUnit.SECONDS.toNanos(10);
+    private static final long MAX_REPORT_AGE_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     private final Settings settings;
     private final ConfigStore store;
     private final PeerTransport transport;
-    private final long process;
-    private final List<HostId> others;
+    private final long processId;
+    private final List<HostId> otherHosts;
     private final List<HostId> zonePeers;
-    private final Map<HostId, Follower> followers = new ConcurrentHashMap<>();
+    private final Map<HostId, HostReport> hostReports = new ConcurrentHashMap<>();
     private volatile boolean leading;
 
     /** Creates an exchange for a store. */
@@ -41,11 +41,11 @@
         this.settings = settings;
         this.store = store;
         this.transport = transport;
-        this.process = process;
+        this.processId = process;
         List<HostId> all = settings.hosts().stream().map(Settings.Host::host).toList();
-        this.others = without(settings.host(), all);
+        this.otherHosts = without(settings.host(), all);
         this.zonePeers = without(settings.host(), settings.hostsIn(settings.zone()));
-        store.listen(ignored -> passOn());
+        store.addListener(ignored -> forward());
     }
 
     /**
@@ -57,16 +57,17 @@
      * @param process drawn at the start of its process
      * @param at when it spoke, on the monotonic clock
      */
-    public record Follower(ZoneId zone, long revision, long millisToForce, long process, long at) {
+    public record HostReport(
+            ZoneId zone, long revision, long activationMillis, long processId, long receivedAt) {
         /** Returns whether it has spoken lately. */
-        public boolean recent() {
-            return BootClock.nanos() - at < FORGET_NANOS;
+        public boolean isRecent() {
+            return BootClock.nanos() - receivedAt < MAX_REPORT_AGE_NANOS;
         }
     }
 
     /** Tells the control hosts and the zone what is in force here; to be called regularly. */
-    public void tell() {
-        ConfigStore.InForce inForce = store.inForce();
+    public void sendReport() {
+        ConfigStore.ActiveConfiguration inForce = store.active();
         Frame frame =
                 Frame.newBuilder()
                         .setFollow(
@@ -74,26 +75,26 @@
                                         .setHost(settings.host().value())
                                         .setZone(settings.zone().value())
                                         .setRevision(inForce.configuration().revision())
-                                        .setMillisToForce(inForce.millisToForce())
-                                        .setProcess(process))
+                                        .setMillisToForce(inForce.activationMillis())
+                                        .setProcess(processId))
                         .build();
         settings.groups().control().forEach(host -> transport.send(host, frame));
         zonePeers.stream()
                 .filter(host -> !settings.groups().control().contains(host))
                 .forEach(host -> transport.send(host, frame));
-        heard(settings.host(), frame.getFollow());
+        recordReport(settings.host(), frame.getFollow());
     }
 
     /** Takes what another host says of itself. */
-    public void received(ConfigFollow follow, Replier replier) {
-        heard(new HostId(follow.getHost()), follow);
+    public void receive(ConfigFollow follow, Replier replier) {
+        recordReport(new HostId(follow.getHost()), follow);
         if (follow.getRevision() < store.current().revision()) {
-            replier.send(update());
+            replier.send(updateFrame());
         }
     }
 
     /** Takes a configuration from another host. */
-    public void received(ConfigUpdate update) {
+    public void receive(ConfigUpdate update) {
         if (update.getRevision() > store.current().revision()) {
             Configuration next =
                     Json.read(Configuration.class, update.getConfiguration().toByteArray());
@@ -102,25 +103,25 @@
     }
 
     /** Returns what each host has said of itself lately. */
-    public Map<HostId, Follower> followers() {
-        return Map.copyOf(followers);
+    public Map<HostId, HostReport> hostReports() {
+        return Map.copyOf(hostReports);
     }
 
     /** Returns the process that a host last spoke from. */
-    public Optional<Long> processOf(HostId host) {
-        return Optional.ofNullable(followers.get(host)).map(Follower::process);
+    public Optional<Long> processIdOf(HostId host) {
+        return Optional.ofNullable(hostReports.get(host)).map(HostReport::processId);
     }
 
     /** Notes whether this host leads the control group. */
-    public void led(boolean leads) {
+    public void setLeading(boolean leads) {
         leading = leads;
     }
 
     /** The control leader sends a new configuration to every host, others to their zone. */
-    private void passOn() {
+    private void forward() {
         if (store.current().revision() > 0) {
-            Frame frame = update();
-            List<HostId> to = leading ? others : zonePeers;
+            Frame frame = updateFrame();
+            List<HostId> to = leading ? otherHosts : zonePeers;
             to.forEach(host -> transport.send(host, frame));
         }
     }
@@ -129,10 +130,10 @@
         return hosts.stream().filter(host -> !host.equals(self)).toList();
     }
 
-    private void heard(HostId host, ConfigFollow follow) {
-        followers.put(
+    private void recordReport(HostId host, ConfigFollow follow) {
+        hostReports.put(
                 host,
-                new Follower(
+                new HostReport(
                         new ZoneId(follow.getZone()),
                         follow.getRevision(),
                         follow.getMillisToForce(),
@@ -140,8 +141,8 @@
                         BootClock.nanos()));
     }
 
-    private Frame update() {
-        ConfigStore.InForce inForce = store.inForce();
+    private Frame updateFrame() {
+        ConfigStore.ActiveConfiguration inForce = store.active();
         byte[] bytes = Json.write(Configuration.class, inForce.configuration());
         return Frame.newBuilder()
                 .setUpdate(
--- a/stackhall-server/src/main/java/io/stackhall/server/node/ConfigStore.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/ConfigStore.java
@@ -34,10 +34,11 @@
 
     private final Optional<Path> file;
     private final List<Consumer<Configuration>> listeners = new CopyOnWriteArrayList<>();
-    private final AtomicReference<Offer> newest = new AtomicReference<>();
-    private final ExecutorService thread =
+    private final AtomicReference<Offer> newestOffer = new AtomicReference<>();
+    private final ExecutorService executor =
             Executors.newSingleThreadExecutor(task -> new Thread(task, "configuration"));
-    private volatile InForce inForce = new InForce(Configuration.initial(), BootClock.nanos(), 0);
+    private volatile ActiveConfiguration active =
+            new ActiveConfiguration(Configuration.initial(), BootClock.nanos(), 0);
 
     /**
      * Opens the store.
@@ -57,7 +58,8 @@
      * @param acceptedAt when it was accepted, as far as is known, on this host's monotonic clock
      * @param millisToForce from its acceptance to its being in force here
      */
-    public record InForce(Configuration configuration, long acceptedAt, long millisToForce) {
+    public record ActiveConfiguration(
+            Configuration configuration, long acceptedAt, long activationMillis) {
         /** Returns the milliseconds since it was accepted. */
         public long ageMillis() {
             return TimeUnit.NANOSECONDS.toMillis(BootClock.nanos() - acceptedAt);
@@ -66,16 +68,16 @@
 
     /** Returns what is in force. */
     public Configuration current() {
-        return inForce.configuration();
+        return active.configuration();
     }
 
     /** Returns what is in force and since when. */
-    public InForce inForce() {
-        return inForce;
+    public ActiveConfiguration active() {
+        return active;
     }
 
     /** Has a listener called with what is in force now, and with each later configuration. */
-    public void listen(Consumer<Configuration> listener) {
+    public void addListener(Consumer<Configuration> listener) {
         listeners.add(listener);
         listener.accept(current());
     }
@@ -97,28 +99,28 @@
      * @param ageMillis since it was accepted
      */
     public void offer(Configuration next, long ageMillis) {
-        if (next.revision() <= current().revision() || thread.isShutdown()) {
+        if (next.revision() <= current().revision() || executor.isShutdown()) {
             return;
         }
         long acceptedAt = BootClock.nanos() - TimeUnit.MILLISECONDS.toNanos(ageMillis);
-        newest.accumulateAndGet(new Offer(next, acceptedAt), Offer::newer);
-        thread.execute(this::putIntoForce);
+        newestOffer.accumulateAndGet(new Offer(next, acceptedAt), Offer::newer);
+        executor.execute(this::activateNewest);
     }
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 
-    private void putIntoForce() {
-        Offer offer = newest.get();
+    private void activateNewest() {
+        Offer offer = newestOffer.get();
         Configuration next = offer.configuration();
         if (next.revision() <= current().revision()) {
             return;
         }
         file.ifPresent(path -> save(path, next));
         long millis = TimeUnit.NANOSECONDS.toMillis(BootClock.nanos() - offer.acceptedAt());
-        inForce = new InForce(next, offer.acceptedAt(), millis);
+        active = new ActiveConfiguration(next, offer.acceptedAt(), millis);
         logger.info("config.in-force revision={} afterMillis={}", next.revision(), millis);
         listeners.forEach(listener -> listener.accept(next));
     }
@@ -126,7 +128,7 @@
     private void load(Path path) {
         try {
             Configuration saved = Json.read(Configuration.class, Files.readAllBytes(path));
-            inForce = new InForce(saved, BootClock.nanos(), 0);
+            active = new ActiveConfiguration(saved, BootClock.nanos(), 0);
         } catch (IOException e) {
             throw new UncheckedIOException("cannot read " + path, e);
         }
--- a/stackhall-server/src/main/java/io/stackhall/server/node/Daemon.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/Daemon.java
@@ -45,20 +45,20 @@
 
     private static final Logger logger = LogManager.getLogger(Daemon.class);
 
-    private static final long EXCHANGE_MILLIS = 500;
-    private static final long NEIGHBOUR_MILLIS = 1000;
-    private static final long DEMAND_MILLIS = 200;
-    private static final long EXPIRE_MILLIS = 250;
+    private static final long REPORT_INTERVAL_MILLIS = 500;
+    private static final long NEIGHBOUR_INTERVAL_MILLIS = 1000;
+    private static final long DEMAND_INTERVAL_MILLIS = 200;
+    private static final long EXPIRY_INTERVAL_MILLIS = 250;
     private static final long DRAIN_POLL_MILLIS = 20;
-    private static final Duration ORDER_RESEND = Duration.ofMillis(500);
-    private static final Duration LONGEST_ORDER_PATIENCE = Duration.ofSeconds(15);
+    private static final Duration ORDER_RESEND_INTERVAL = Duration.ofMillis(500);
+    private static final Duration MAX_ORDER_TIMEOUT = Duration.ofSeconds(15);
     private static final int ORDER_SENDS_PER_LIFETIME = 4;
-    private static final Duration DECIDE_EVERY = Duration.ofMillis(100);
+    private static final Duration DECISION_INTERVAL = Duration.ofMillis(100);
 
     private final Settings settings;
-    private final Optional<DataFolder> folder;
+    private final Optional<DataFolder> dataFolder;
     private final Random random = new Random();
-    private final long process = random.nextLong(1, Long.MAX_VALUE);
+    private final long processId = random.nextLong(1, Long.MAX_VALUE);
     private static final int PEER_THREADS = 2;
 
     private final PeerTransport transport;
@@ -76,10 +76,10 @@
     private final NodeMetrics metrics;
     private final CallerServer callers;
     private final Optional<OperatorServer> operators;
-    private final ScheduledExecutorService clock =
+    private final ScheduledExecutorService scheduler =
             Executors.newSingleThreadScheduledExecutor(task -> new Thread(task, "clock"));
     private volatile boolean stopping;
-    private int turn;
+    private int digestRound;
 
     /**
      * Creates a process from its settings; it does not run yet.
@@ -88,7 +88,7 @@
      */
     public Daemon(Settings settings, String version) throws IOException {
         this.settings = settings;
-        this.folder =
+        this.dataFolder =
                 settings.dataFolder().isPresent()
                         ? Optional.of(DataFolder.open(settings.dataFolder().get()))
                         : Optional.empty();
@@ -97,15 +97,15 @@
                         settings.peers(),
                         new MultiThreadIoEventLoopGroup(PEER_THREADS, NioIoHandler.newFactory()),
                         PeerTiming.standard());
-        this.groups = new NodeGroups(settings, folder, transport, random);
+        this.groups = new NodeGroups(settings, dataFolder, transport, random);
         this.client =
                 new GroupClient(
                         settings.host(),
                         transport,
-                        groups.hosts(),
+                        groups.replicas(),
                         group -> settings.membersByGroup().getOrDefault(group, List.of()));
-        this.config = new ConfigStore(folder);
-        this.configExchange = new ConfigExchange(settings, config, transport, process);
+        this.config = new ConfigStore(dataFolder);
+        this.configExchange = new ConfigExchange(settings, config, transport, processId);
         this.upstreamExchange = new UpstreamExchange(settings, transport);
         this.upstreams = UpstreamClient.start(settings.timing().upstreamIdle());
         this.traffic = new TrafficDriver(settings.limits().maxWaiting(), random);
@@ -125,7 +125,7 @@
                         upstreams,
                         client,
                         metrics,
-                        process,
+                        processId,
                         () -> !stopping);
         this.operators =
                 settings.operators()
@@ -135,7 +135,7 @@
                                                 address,
                                                 settings,
                                                 client,
-                                                groups.hosts(),
+                                                groups.replicas(),
                                                 config,
                                                 configExchange,
                                                 upstreamExchange,
@@ -145,12 +145,12 @@
 
     /** Starts every part. */
     public void start() throws IOException {
-        upstreamExchange.listen(new ToDrivers());
-        config.listen(traffic::configured);
-        placement.values().forEach(driver -> config.listen(driver::configured));
+        upstreamExchange.addListener(new DriverNotifier());
+        config.addListener(traffic::applyConfiguration);
+        placement.values().forEach(driver -> config.addListener(driver::applyConfiguration));
         placement.forEach(
-                (zone, driver) -> driver.start(groups.hosts().get(Settings.zoneGroup(zone))));
-        transport.open(this::received);
+                (zone, driver) -> driver.start(groups.replicas().get(Settings.zoneGroup(zone))));
+        transport.open(this::receive);
         linkOtherHosts();
         groups.start();
         traffic.start();
@@ -158,12 +158,12 @@
         for (OperatorServer server : operators.stream().toList()) {
             server.start();
         }
-        every(EXCHANGE_MILLIS, this::exchange);
-        every(DEMAND_MILLIS, demand::tell);
-        every(NEIGHBOUR_MILLIS, neighbours::tell);
-        every(EXPIRE_MILLIS, upstreamExchange::expire);
-        every(EXPIRE_MILLIS, neighbours::expire);
-        every(Housekeeping.intervalMillis(), this::keepHouse);
+        scheduleEvery(REPORT_INTERVAL_MILLIS, this::sendReports);
+        scheduleEvery(DEMAND_INTERVAL_MILLIS, demand::sendReport);
+        scheduleEvery(NEIGHBOUR_INTERVAL_MILLIS, neighbours::sendReport);
+        scheduleEvery(EXPIRY_INTERVAL_MILLIS, upstreamExchange::expire);
+        scheduleEvery(EXPIRY_INTERVAL_MILLIS, neighbours::expire);
+        scheduleEvery(Housekeeping.intervalMillis(), this::cleanUp);
         logger.info("daemon.started host={} zone={}", settings.host(), settings.zone());
     }
 
@@ -180,8 +180,8 @@
         stopping = true;
         logger.info("daemon.draining host={}", settings.host());
         callers.stopTakingWork();
-        neighbours.tell();
-        groups.transferAll();
+        neighbours.sendReport();
+        groups.transferLeaderships();
         long grace = BootClock.nanos() + settings.timing().drainGrace().toNanos();
         long bound = BootClock.nanos() + settings.timing().drainBound().toNanos();
         while (BootClock.nanos() - bound < 0) {
@@ -196,7 +196,7 @@
 
     @Override
     public void close() throws IOException {
-        clock.shutdownNow();
+        scheduler.shutdownNow();
         callers.close();
         operators.ifPresent(OperatorServer::close);
         placement.values().forEach(PlacementDriver::close);
@@ -205,8 +205,8 @@
         transport.close();
         config.close();
         upstreams.close();
-        if (folder.isPresent()) {
-            folder.get().close();
+        if (dataFolder.isPresent()) {
+            dataFolder.get().close();
         }
         logger.info("daemon.stopped host={}", settings.host());
     }
@@ -220,12 +220,12 @@
                 PlacementSettings timing =
                         new PlacementSettings(
                                 settings.timing().orderLifetime(),
-                                ORDER_RESEND,
-                                DECIDE_EVERY,
+                                ORDER_RESEND_INTERVAL,
+                                DECISION_INTERVAL,
                                 zones);
                 PlacementDriver driver =
                         new PlacementDriver(
-                                entry.getKey().value(), timing, upstreams.orders(orderPatience()));
+                                entry.getKey().value(), timing, upstreams.orders(orderTimeout()));
                 placement.put(entry.getKey(), driver);
                 ZoneState state = new ZoneState();
                 groups.openZone(entry.getKey(), state, new ZoneListener(state, driver));
@@ -234,40 +234,41 @@
     }
 
     /** A load that takes longer is joined by the resent order. */
-    private Duration orderPatience() {
+    private Duration orderTimeout() {
         Duration share = settings.timing().orderLifetime().dividedBy(ORDER_SENDS_PER_LIFETIME);
-        return share.compareTo(LONGEST_ORDER_PATIENCE) < 0 ? share : LONGEST_ORDER_PATIENCE;
+        return share.compareTo(MAX_ORDER_TIMEOUT) < 0 ? share : MAX_ORDER_TIMEOUT;
     }
 
-    private void received(Frame frame, Replier replier) {
+    private void receive(Frame frame, Replier replier) {
         switch (frame.getBodyCase()) {
-            case RAFT -> groups.received(frame.getRaft());
-            case HELLO -> groups.received(frame.getHello());
+            case RAFT -> groups.receive(frame.getRaft());
+            case HELLO -> groups.receive(frame.getHello());
             case COMMAND -> client.serve(frame.getCall(), frame.getCommand(), replier);
-            case FOLLOW -> configExchange.received(frame.getFollow(), replier);
-            case UPDATE -> configExchange.received(frame.getUpdate());
-            case UPSTREAM -> upstreamExchange.received(frame.getUpstream());
-            case DIGEST -> upstreamExchange.received(frame.getDigest(), replier);
-            case NEIGHBOUR -> neighbours.received(frame.getNeighbour());
-            case DEMAND -> demand.received(frame.getDemand());
+            case FOLLOW -> configExchange.receive(frame.getFollow(), replier);
+            case UPDATE -> configExchange.receive(frame.getUpdate());
+            case UPSTREAM -> upstreamExchange.receive(frame.getUpstream());
+            case DIGEST -> upstreamExchange.receive(frame.getDigest(), replier);
+            case NEIGHBOUR -> neighbours.receive(frame.getNeighbour());
+            case DEMAND -> demand.receive(frame.getDemand());
             default -> logger.warn("peer.frame-unknown body={}", frame.getBodyCase());
         }
     }
 
-    private void exchange() {
-        configExchange.tell();
-        upstreamExchange.compare(turn++);
+    private void sendReports() {
+        configExchange.sendReport();
+        upstreamExchange.sendDigests(digestRound++);
         metrics.state("config_revision", "", config.current().revision());
-        groups.hosts()
+        groups.replicas()
                 .forEach(
                         (name, host) -> {
                             metrics.state("group_leads", name, host.holdsLeaseNow() ? 1 : 0);
                             metrics.state("group_commit_index", name, host.view().commitIndex());
                         });
-        placement.forEach((zone, driver) -> driver.measures().thenAccept(of -> measure(zone, of)));
+        placement.forEach(
+                (zone, driver) -> driver.measures().thenAccept(of -> publishMeasures(zone, of)));
     }
 
-    private void measure(ZoneId zone, PlacementDriver.Measures measures) {
+    private void publishMeasures(ZoneId zone, PlacementDriver.Measures measures) {
         String active = zone + " " + measures.active().text();
         metrics.state("placement_loads", active, measures.counts().loads());
         metrics.state("placement_needless_loads", active, measures.counts().needlessLoads());
@@ -280,20 +281,20 @@
                         });
     }
 
-    private void keepHouse() {
-        groups.hosts()
+    private void cleanUp() {
+        groups.replicas()
                 .forEach(
                         (name, host) -> {
                             if (name.equals(Settings.CONTROL_GROUP)) {
-                                housekeeping.work(host);
+                                housekeeping.cleanUpWork(host);
                             } else {
-                                housekeeping.claims(host);
+                                housekeeping.cleanUpClaims(host);
                             }
                         });
     }
 
-    private void every(long millis, Runnable task) {
-        clock.scheduleAtFixedRate(
+    private void scheduleEvery(long millis, Runnable task) {
+        scheduler.scheduleAtFixedRate(
                 () -> {
                     try {
                         task.run();
@@ -329,7 +330,7 @@
 
         @Override
         public void led(boolean leads) {
-            configExchange.led(leads);
+            configExchange.setLeading(leads);
         }
     }
 
@@ -345,36 +346,36 @@
 
         @Override
         public void changed() {
-            driver.changed(state.orders().state());
+            driver.updateLedger(state.orders().state());
         }
 
         @Override
         public void led(boolean leading) {
-            driver.led(leading, state.orders().state());
+            driver.setLeading(leading, state.orders().state());
         }
     }
 
     /** Tells routing and placement what becomes known of upstreams. */
-    private final class ToDrivers implements UpstreamExchange.Listener {
+    private final class DriverNotifier implements UpstreamExchange.Listener {
         @Override
-        public void announced(ZoneId zone, Announcement announcement) {
+        public void upstreamAnnounced(ZoneId zone, Announcement announcement) {
             if (zone.equals(settings.zone())) {
-                traffic.announced(announcement);
+                traffic.receiveAnnouncement(announcement);
             }
             PlacementDriver driver = placement.get(zone);
             if (driver != null) {
-                driver.announced(announcement);
+                driver.receiveAnnouncement(announcement);
             }
         }
 
         @Override
-        public void lost(ZoneId zone, UpstreamId upstream) {
+        public void upstreamLost(ZoneId zone, UpstreamId upstream) {
             if (zone.equals(settings.zone())) {
-                traffic.lost(upstream);
+                traffic.removeUpstream(upstream);
             }
             PlacementDriver driver = placement.get(zone);
             if (driver != null) {
-                driver.lost(upstream);
+                driver.removeUpstream(upstream);
             }
         }
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/node/DemandExchange.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/DemandExchange.java
@@ -35,12 +35,12 @@
     }
 
     /** Tells what was asked for since the last call; to be called regularly. */
-    void tell() {
-        traffic.drainDemand().thenAccept(this::tell);
+    void sendReport() {
+        traffic.drainDemand().thenAccept(this::sendReport);
     }
 
     /** Takes an entry host's report. */
-    void received(DemandReport report) {
+    void receive(DemandReport report) {
         PlacementDriver driver = placement.get(new ZoneId(report.getZone()));
         if (driver == null) {
             return;
@@ -54,10 +54,10 @@
             }
             waiting.put(model, count.getWaiting());
         }
-        driver.demanded(new HostId(report.getHost()), arrivals, waiting);
+        driver.recordDemand(new HostId(report.getHost()), arrivals, waiting);
     }
 
-    private void tell(TrafficDriver.Demand demand) {
+    private void sendReport(TrafficDriver.Demand demand) {
         metrics.state("requests_waiting", "", demand.waiting());
         metrics.state("requests_running", "", demand.running());
         DemandReport report = report(demand);
@@ -66,7 +66,7 @@
                 .zones()
                 .get(settings.zone())
                 .forEach(member -> transport.send(member, frame));
-        received(report);
+        receive(report);
     }
 
     private DemandReport report(TrafficDriver.Demand demand) {
--- a/stackhall-server/src/main/java/io/stackhall/server/node/Housekeeping.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/Housekeeping.java
@@ -34,44 +34,44 @@
 final class Housekeeping {
 
     private static final int TOKEN_PARTS = 3;
-    private static final int HEXADECIMAL = 16;
+    private static final int HEX_RADIX = 16;
 
     private final Settings.Timing timing;
-    private final ConfigExchange exchange;
+    private final ConfigExchange configExchange;
     private final Map<Object, Long> firstSeen = new HashMap<>();
 
     Housekeeping(Settings.Timing timing, ConfigExchange exchange) {
         this.timing = timing;
-        this.exchange = exchange;
+        this.configExchange = exchange;
     }
 
     /** Looks after the claims of a zone that this host leads. */
-    void claims(GroupHost group) {
+    void cleanUpClaims(GroupHost group) {
         if (!group.holdsLeaseNow()) {
             return;
         }
         group.readLocal(state -> ((ZoneState) state).claims().state())
-                .thenAccept(state -> tidyClaims(group, state));
+                .thenAccept(state -> removeStaleClaims(group, state));
     }
 
     /** Looks after the accepted work, if this host leads the control group. */
-    void work(GroupHost group) {
+    void cleanUpWork(GroupHost group) {
         if (!group.holdsLeaseNow()) {
             return;
         }
         group.readLocal(state -> ((ControlState) state).work().items())
-                .thenAccept(items -> tidyWork(group, items));
+                .thenAccept(items -> removeStaleWork(group, items));
     }
 
-    private synchronized void tidyClaims(GroupHost group, ClaimTable.State state) {
+    private synchronized void removeStaleClaims(GroupHost group, ClaimTable.State state) {
         Set<Object> seen = new HashSet<>();
         List<ClaimKey> old = new ArrayList<>();
         for (ClaimTable.Held held : state.claims()) {
             seen.add(held.key());
             boolean claimed = held.progress() == ClaimTable.Progress.CLAIMED;
-            if (claimed && olderThan(held.key(), timing.longestRun().toNanos())) {
+            if (claimed && isOlderThan(held.key(), timing.longestRun().toNanos())) {
                 send(group, new ClaimCommand.Abandon(held.key(), held.token()));
-            } else if (!claimed && olderThan(held.key(), timing.claimRetention().toNanos())) {
+            } else if (!claimed && isOlderThan(held.key(), timing.claimRetention().toNanos())) {
                 old.add(held.key());
             }
         }
@@ -80,23 +80,23 @@
         }
         if (state.memoryLost()) {
             seen.add(ClaimCommand.TrustMemory.class);
-            if (olderThan(ClaimCommand.TrustMemory.class, timing.claimRetention().toNanos())) {
+            if (isOlderThan(ClaimCommand.TrustMemory.class, timing.claimRetention().toNanos())) {
                 send(group, new ClaimCommand.TrustMemory());
             }
         }
         firstSeen.keySet().removeIf(key -> !(key instanceof WorkId) && !seen.contains(key));
     }
 
-    private synchronized void tidyWork(GroupHost group, List<WorkItem> items) {
+    private synchronized void removeStaleWork(GroupHost group, List<WorkItem> items) {
         Set<Object> seen = new HashSet<>();
         List<WorkId> old = new ArrayList<>();
         for (WorkItem item : items) {
             seen.add(item.id());
             boolean running = item.progress() == WorkItem.Progress.RUNNING;
-            if (running && gone(item)) {
+            if (running && isAttemptLost(item)) {
                 send(group, new WorkCommand.Lose(item.id(), item.holder().orElseThrow()));
             } else if (item.progress().ended()
-                    && olderThan(item.id(), timing.claimRetention().toNanos())) {
+                    && isOlderThan(item.id(), timing.claimRetention().toNanos())) {
                 old.add(item.id());
             }
         }
@@ -107,25 +107,25 @@
     }
 
     /** An attempt is gone when its host speaks from another process, or has long been silent. */
-    private boolean gone(WorkItem item) {
+    private boolean isAttemptLost(WorkItem item) {
         AttemptToken token = item.holder().orElseThrow();
         String[] parts = token.value().split("/", TOKEN_PARTS);
-        Optional<ConfigExchange.Follower> host =
-                Optional.ofNullable(exchange.followers().get(new HostId(parts[0])));
-        long process = Long.parseUnsignedLong(parts[1], HEXADECIMAL);
-        if (host.isPresent() && host.get().process() != process) {
+        Optional<ConfigExchange.HostReport> host =
+                Optional.ofNullable(configExchange.hostReports().get(new HostId(parts[0])));
+        long process = Long.parseUnsignedLong(parts[1], HEX_RADIX);
+        if (host.isPresent() && host.get().processId() != process) {
             return true;
         }
-        boolean silent = host.isEmpty() || !host.get().recent();
+        boolean silent = host.isEmpty() || !host.get().isRecent();
         long patience = timing.longestRun().toNanos();
-        return silent && olderThan(item.id(), patience) && ageOf(host) > patience;
+        return silent && isOlderThan(item.id(), patience) && ageOf(host) > patience;
     }
 
-    private static long ageOf(Optional<ConfigExchange.Follower> host) {
-        return host.map(of -> BootClock.nanos() - of.at()).orElse(Long.MAX_VALUE);
+    private static long ageOf(Optional<ConfigExchange.HostReport> host) {
+        return host.map(of -> BootClock.nanos() - of.receivedAt()).orElse(Long.MAX_VALUE);
     }
 
-    private boolean olderThan(Object key, long nanos) {
+    private boolean isOlderThan(Object key, long nanos) {
         long now = BootClock.nanos();
         return now - firstSeen.computeIfAbsent(key, ignored -> now) > nanos;
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/node/NeighbourExchange.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/NeighbourExchange.java
@@ -34,9 +34,9 @@
     private final UpstreamExchange upstreams;
     private final BooleanSupplier stopping;
     private final TrafficDriver traffic;
-    private final List<HostId> listeners;
+    private final List<HostId> recipients;
     private final UpstreamTable neighbours;
-    private final long process = System.currentTimeMillis();
+    private final long incarnation = System.currentTimeMillis();
     private long sequence;
 
     NeighbourExchange(
@@ -52,29 +52,29 @@
         this.upstreams = upstreams;
         this.traffic = traffic;
         this.stopping = stopping;
-        this.listeners = listenersOf(settings);
+        this.recipients = recipientsOf(settings);
         this.neighbours = new UpstreamTable(settings.timing().upstreamSilence());
     }
 
     /** Tells the other zones; to be called regularly. */
-    void tell() {
+    void sendReport() {
         Announcement said =
                 Neighbours.zoneAnnouncement(
                         new Neighbours.AnnouncingHost(
                                 settings.host(),
                                 settings.zone(),
                                 settings.callers().toString(),
-                                process,
+                                incarnation,
                                 ++sequence),
-                        upstreams.all(settings.zone()),
+                        upstreams.announcements(settings.zone()),
                         config.current().draining()::contains,
                         stopping.getAsBoolean());
         Frame frame = Frame.newBuilder().setNeighbour(encode(said)).build();
-        listeners.forEach(host -> transport.send(host, frame));
+        recipients.forEach(host -> transport.send(host, frame));
     }
 
     /** Takes what a host of another zone says of it. */
-    void received(NeighbourReport report) {
+    void receive(NeighbourReport report) {
         Announcement announcement;
         try {
             announcement = decode(report);
@@ -86,7 +86,7 @@
         synchronized (neighbours) {
             kept = neighbours.offer(announcement, BootClock.nanos());
         }
-        kept.ifPresent(traffic::neighbourAnnounced);
+        kept.ifPresent(traffic::receiveNeighbourAnnouncement);
     }
 
     /** Forgets the hosts that have been silent; to be called regularly. */
@@ -95,11 +95,11 @@
         synchronized (neighbours) {
             lost = neighbours.expire(BootClock.nanos());
         }
-        lost.forEach(traffic::neighbourLost);
+        lost.forEach(traffic::removeNeighbour);
     }
 
     /** Returns the hosts of other zones that hear this one. */
-    private static List<HostId> listenersOf(Settings settings) {
+    private static List<HostId> recipientsOf(Settings settings) {
         List<HostId> own = ranked(settings, settings.zone());
         List<HostId> listeners = new ArrayList<>();
         for (ZoneId zone : settings.zones()) {
@@ -126,8 +126,8 @@
                 .setProcess(said.incarnation())
                 .setSequence(said.sequence())
                 .addAllModels(
-                        texts(said.memory().resident().stream().map(of -> of.artifact().id())))
-                .addAllServices(texts(said.services().stream()))
+                        values(said.memory().resident().stream().map(of -> of.artifact().id())))
+                .addAllServices(values(said.services().stream()))
                 .setAccelerators(said.memory().accelerators())
                 .setSlots(said.load().slots())
                 .setRunning(said.load().running())
@@ -156,7 +156,7 @@
                 List.of());
     }
 
-    private static List<String> texts(Stream<? extends Id> ids) {
+    private static List<String> values(Stream<? extends Id> ids) {
         return ids.map(Id::value).toList();
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/node/NodeGroups.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/NodeGroups.java
@@ -34,14 +34,14 @@
 final class NodeGroups implements AutoCloseable {
 
     private static final int MAX_ENTRIES_PER_MESSAGE = 512;
-    private static final int DRIFT_MARGIN_SHARE = 10;
+    private static final int DRIFT_MARGIN_DIVISOR = 10;
     private static final int EVERY_HOST_VOTES = 0;
 
     private final Settings settings;
-    private final Optional<DataFolder> folder;
+    private final Optional<DataFolder> dataFolder;
     private final PeerTransport transport;
     private final RandomGenerator random;
-    private final Map<String, GroupHost> hosts = new ConcurrentHashMap<>();
+    private final Map<String, GroupHost> replicas = new ConcurrentHashMap<>();
 
     NodeGroups(
             Settings settings,
@@ -49,14 +49,14 @@
             PeerTransport transport,
             RandomGenerator random) {
         this.settings = settings;
-        this.folder = folder;
+        this.dataFolder = folder;
         this.transport = transport;
         this.random = random;
     }
 
     /** Returns the running replicas by group; it fills as they are opened. */
-    Map<String, GroupHost> hosts() {
-        return hosts;
+    Map<String, GroupHost> replicas() {
+        return replicas;
     }
 
     /** Opens the replica of the control group, if this host keeps one. */
@@ -70,29 +70,29 @@
     }
 
     /** Takes a message for one of the replicas. */
-    void received(Raft raft) {
-        GroupHost host = hosts.get(raft.getGroup());
+    void receive(Raft raft) {
+        GroupHost host = replicas.get(raft.getGroup());
         if (host != null) {
             host.receive(ReplicationCodec.decode(raft));
         }
     }
 
     /** Takes a hello for one of the replicas. */
-    void received(io.stackhall.rpc.generated.peer.Hello hello) {
-        GroupHost host = hosts.get(hello.getGroup());
+    void receive(io.stackhall.rpc.generated.peer.Hello hello) {
+        GroupHost host = replicas.get(hello.getGroup());
         if (host != null) {
             host.receive(ReplicationCodec.decode(hello));
         }
     }
 
     /** Hands every leadership over. */
-    void transferAll() {
-        hosts.values().forEach(GroupHost::transfer);
+    void transferLeaderships() {
+        replicas.values().forEach(GroupHost::transfer);
     }
 
     @Override
     public void close() throws IOException {
-        for (GroupHost host : hosts.values()) {
+        for (GroupHost host : replicas.values()) {
             host.close();
         }
     }
@@ -116,20 +116,20 @@
                         listener,
                         random,
                         BootClock.nanos());
-        hosts.put(group, host);
+        replicas.put(group, host);
     }
 
     /** Starts every opened replica. */
     void start() {
-        hosts.values().forEach(GroupHost::start);
+        replicas.values().forEach(GroupHost::start);
     }
 
     private ReplicaStorage storage(String group) throws IOException {
-        if (folder.isEmpty()) {
+        if (dataFolder.isEmpty()) {
             return new MemoryStorage(random.nextLong(1, Long.MAX_VALUE));
         }
         return DiskStorage.open(
-                folder.get().resolve("groups").resolve(group),
+                dataFolder.get().resolve("groups").resolve(group),
                 random,
                 settings.limits().leastFreeBytes());
     }
@@ -139,7 +139,7 @@
         return new ReplicaSettings(
                 timing.electionTimeout(),
                 timing.heartbeat(),
-                timing.electionTimeout().dividedBy(DRIFT_MARGIN_SHARE),
+                timing.electionTimeout().dividedBy(DRIFT_MARGIN_DIVISOR),
                 MAX_ENTRIES_PER_MESSAGE,
                 EVERY_HOST_VOTES);
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/node/PlacementDriver.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/PlacementDriver.java
@@ -40,14 +40,14 @@
 
     private final PlacementCoordinator coordinator;
     private final OrderClient orders;
-    private final ScheduledExecutorService thread;
+    private final ScheduledExecutorService executor;
     private volatile GroupHost group;
 
     /** Creates a driver for a zone. */
     public PlacementDriver(String zone, PlacementSettings settings, OrderClient orders) {
         this.coordinator = new PlacementCoordinator(settings, BootClock.nanos());
         this.orders = orders;
-        this.thread =
+        this.executor =
                 Executors.newSingleThreadScheduledExecutor(
                         task -> new Thread(task, "placement-" + zone));
     }
@@ -64,79 +64,79 @@
             PolicyName active,
             PlacementCounts counts,
             Map<PolicyName, PlacementCounts> byPolicy,
-            Optional<Compared> compared) {}
+            Optional<ComparedPolicy> compared) {}
 
     /** What a policy that decides in shadow would have cost and missed. */
-    public record Compared(PolicyName policy, PlacementCounts counts) {}
+    public record ComparedPolicy(PolicyName policy, PlacementCounts counts) {}
 
     /** Starts the clock, with the group to which intents are proposed. */
     public void start(GroupHost zoneGroup) {
         group = zoneGroup;
-        thread.scheduleAtFixedRate(
-                () -> take(new PlacementEvent.Tick()),
+        executor.scheduleAtFixedRate(
+                () -> step(new PlacementEvent.Tick()),
                 TICK_MILLIS,
                 TICK_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
     /** Tells that this host leads, or leads no more. */
-    public void led(boolean leading, OrderLedger.State state) {
+    public void setLeading(boolean leading, OrderLedger.State state) {
         submit(leading ? new PlacementEvent.Led(state) : new PlacementEvent.Deposed());
     }
 
     /** Tells of a change of the ledger. */
-    public void changed(OrderLedger.State state) {
+    public void updateLedger(OrderLedger.State state) {
         submit(new PlacementEvent.LedgerChanged(state));
     }
 
     /** Takes an upstream's announcement. */
-    public void announced(Announcement announcement) {
+    public void receiveAnnouncement(Announcement announcement) {
         submit(new PlacementEvent.Reported(announcement));
     }
 
     /** Forgets an upstream. */
-    public void lost(UpstreamId upstream) {
+    public void removeUpstream(UpstreamId upstream) {
         submit(new PlacementEvent.UpstreamLost(upstream));
     }
 
     /** Takes the configuration in force. */
-    public void configured(Configuration configuration) {
+    public void applyConfiguration(Configuration configuration) {
         submit(new PlacementEvent.Configured(configuration));
     }
 
     /** Takes an entry host's demand. */
-    public void demanded(
+    public void recordDemand(
             HostId host, Map<ModelId, Integer> arrivals, Map<ModelId, Integer> waiting) {
         submit(new PlacementEvent.Demanded(host, arrivals, waiting));
     }
 
     /** Returns the measures as they are now. */
     public CompletableFuture<Measures> measures() {
-        return CompletableFuture.supplyAsync(this::measured, thread);
+        return CompletableFuture.supplyAsync(this::currentMeasures, executor);
     }
 
-    private Measures measured() {
+    private Measures currentMeasures() {
         return new Measures(
                 coordinator.activePolicy(),
                 coordinator.counts(),
                 coordinator.countsByPolicy(),
                 coordinator
                         .comparedPolicy()
-                        .map(policy -> new Compared(policy, coordinator.comparedCounts())));
+                        .map(policy -> new ComparedPolicy(policy, coordinator.comparedCounts())));
     }
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 
     private void submit(PlacementEvent event) {
-        if (!thread.isShutdown()) {
-            thread.execute(() -> take(event));
+        if (!executor.isShutdown()) {
+            executor.execute(() -> step(event));
         }
     }
 
-    private void take(PlacementEvent event) {
+    private void step(PlacementEvent event) {
         try {
             for (PlacementEffect effect : coordinator.step(event, BootClock.nanos())) {
                 switch (effect) {
@@ -154,13 +154,13 @@
         group.command(bytes)
                 .thenAccept(
                         outcome -> {
-                            if (!applied(outcome)) {
+                            if (!isApplied(outcome)) {
                                 submit(new PlacementEvent.ProposalFailed(command));
                             }
                         });
     }
 
-    private static boolean applied(CommandOutcome outcome) {
+    private static boolean isApplied(CommandOutcome outcome) {
         return switch (outcome) {
             case CommandOutcome.Done(byte[] bytes) ->
                     Json.read(ZoneResult.class, bytes) instanceof ZoneResult.OrdersChanged changed
--- a/stackhall-server/src/main/java/io/stackhall/server/node/TrafficDriver.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/TrafficDriver.java
@@ -30,10 +30,10 @@
 
     private static final long TICK_MILLIS = 20;
 
-    private final TrafficScheduler director;
-    private final Map<RequestId, CompletableFuture<Decision>> awaited = new HashMap<>();
+    private final TrafficScheduler trafficScheduler;
+    private final Map<RequestId, CompletableFuture<Decision>> pendingDecisions = new HashMap<>();
     private final AtomicInteger inFlight = new AtomicInteger();
-    private final ScheduledExecutorService thread =
+    private final ScheduledExecutorService executor =
             Executors.newSingleThreadScheduledExecutor(task -> new Thread(task, "traffic"));
 
     /** Creates a driver with standard routing. */
@@ -45,7 +45,7 @@
                         Math.max(1, maxWaiting / 2),
                         standard.retryShare(),
                         standard.maxAttempts());
-        this.director =
+        this.trafficScheduler =
                 new TrafficScheduler(settings, new Router(RoutingSettings.standard(), random));
     }
 
@@ -68,7 +68,7 @@
 
     /** Starts the clock. */
     public void start() {
-        thread.scheduleAtFixedRate(
+        executor.scheduleAtFixedRate(
                 () -> step(new TrafficEvent.Tick()),
                 TICK_MILLIS,
                 TICK_MILLIS,
@@ -76,28 +76,28 @@
     }
 
     /** Asks for a request to be served. */
-    public CompletableFuture<Decision> arrive(Arrival arrival) {
+    public CompletableFuture<Decision> submit(Arrival arrival) {
         CompletableFuture<Decision> decision = new CompletableFuture<>();
-        thread.execute(
+        executor.execute(
                 () -> {
-                    awaited.put(arrival.id(), decision);
+                    pendingDecisions.put(arrival.id(), decision);
                     step(new TrafficEvent.Arrived(arrival));
                 });
         return decision;
     }
 
     /** Tells that an attempt served its request, or that nothing more can be done for it. */
-    public void ended(RequestId id, AttemptResult ending, RequestOutcome outcome) {
-        thread.execute(() -> step(new TrafficEvent.AttemptEnded(id, ending, outcome, true)));
+    public void recordCompletion(RequestId id, AttemptResult ending, RequestOutcome outcome) {
+        executor.execute(() -> step(new TrafficEvent.AttemptEnded(id, ending, outcome, true)));
     }
 
     /** Tells that an attempt failed before anything reached the caller, and asks what now. */
-    public CompletableFuture<Decision> failed(
+    public CompletableFuture<Decision> recordFailure(
             RequestId id, AttemptResult ending, RequestOutcome why) {
         CompletableFuture<Decision> decision = new CompletableFuture<>();
-        thread.execute(
+        executor.execute(
                 () -> {
-                    awaited.put(id, decision);
+                    pendingDecisions.put(id, decision);
                     step(new TrafficEvent.AttemptEnded(id, ending, why, false));
                 });
         return decision;
@@ -105,36 +105,36 @@
 
     /** Tells that a request's caller has gone. */
     public void withdraw(RequestId id) {
-        thread.execute(
+        executor.execute(
                 () -> {
-                    awaited.remove(id);
+                    pendingDecisions.remove(id);
                     step(new TrafficEvent.Withdrawn(id));
                 });
     }
 
     /** Takes an upstream's announcement. */
-    public void announced(Announcement announcement) {
-        thread.execute(() -> step(new TrafficEvent.Announced(announcement)));
+    public void receiveAnnouncement(Announcement announcement) {
+        executor.execute(() -> step(new TrafficEvent.Announced(announcement)));
     }
 
     /** Forgets an upstream. */
-    public void lost(UpstreamId upstream) {
-        thread.execute(() -> step(new TrafficEvent.UpstreamLost(upstream)));
+    public void removeUpstream(UpstreamId upstream) {
+        executor.execute(() -> step(new TrafficEvent.UpstreamLost(upstream)));
     }
 
     /** Takes what another zone's host says of its zone. */
-    public void neighbourAnnounced(Announcement announcement) {
-        thread.execute(() -> step(new TrafficEvent.NeighbourAnnounced(announcement)));
+    public void receiveNeighbourAnnouncement(Announcement announcement) {
+        executor.execute(() -> step(new TrafficEvent.NeighbourAnnounced(announcement)));
     }
 
     /** Forgets another zone's host. */
-    public void neighbourLost(UpstreamId neighbour) {
-        thread.execute(() -> step(new TrafficEvent.NeighbourLost(neighbour)));
+    public void removeNeighbour(UpstreamId neighbour) {
+        executor.execute(() -> step(new TrafficEvent.NeighbourLost(neighbour)));
     }
 
     /** Takes the configuration in force. */
-    public void configured(Configuration configuration) {
-        thread.execute(() -> step(new TrafficEvent.Configured(configuration)));
+    public void applyConfiguration(Configuration configuration) {
+        executor.execute(() -> step(new TrafficEvent.Configured(configuration)));
     }
 
     /** Returns what was asked for since the last call, and what waits. */
@@ -142,11 +142,11 @@
         return CompletableFuture.supplyAsync(
                 () ->
                         new Demand(
-                                director.drainArrivals(),
-                                director.waitingByModel(),
-                                director.waiting(),
-                                director.running()),
-                thread);
+                                trafficScheduler.drainArrivals(),
+                                trafficScheduler.waitingByModel(),
+                                trafficScheduler.waiting(),
+                                trafficScheduler.running()),
+                executor);
     }
 
     /** Counts requests within this process, from reception to the end of the answer. */
@@ -156,16 +156,16 @@
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 
     private void step(TrafficEvent event) {
-        for (TrafficEffect effect : director.step(event, BootClock.nanos())) {
+        for (TrafficEffect effect : trafficScheduler.step(event, BootClock.nanos())) {
             switch (effect) {
                 case TrafficEffect.Dispatch(RequestId id, UpstreamId upstream, String address) ->
-                        decide(id, new Decision.Send(upstream, address));
+                        completeDecision(id, new Decision.Send(upstream, address));
                 case TrafficEffect.Refuse refuse ->
-                        decide(
+                        completeDecision(
                                 refuse.id(),
                                 new Decision.GiveUp(
                                         refuse.refusal(),
@@ -175,8 +175,8 @@
         }
     }
 
-    private void decide(RequestId id, Decision decision) {
-        CompletableFuture<Decision> waiting = awaited.remove(id);
+    private void completeDecision(RequestId id, Decision decision) {
+        CompletableFuture<Decision> waiting = pendingDecisions.remove(id);
         if (waiting != null) {
             waiting.complete(decision);
         }
--- a/stackhall-server/src/main/java/io/stackhall/server/node/UpstreamExchange.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/UpstreamExchange.java
@@ -39,10 +39,10 @@
     /** Hears what becomes known of upstreams. */
     public interface Listener {
         /** An upstream has announced itself. */
-        void announced(ZoneId zone, Announcement announcement);
+        void upstreamAnnounced(ZoneId zone, Announcement announcement);
 
         /** An upstream has been silent for too long. */
-        void lost(ZoneId zone, UpstreamId upstream);
+        void upstreamLost(ZoneId zone, UpstreamId upstream);
     }
 
     /** Creates an exchange for the host's own zone and the zones whose groups it is in. */
@@ -63,7 +63,7 @@
     }
 
     /** Adds a listener. */
-    public void listen(Listener listener) {
+    public void addListener(Listener listener) {
         listeners.add(listener);
     }
 
@@ -72,69 +72,71 @@
      *
      * @return whether its zone is one that this host serves
      */
-    public boolean announced(Announcement announcement) {
+    public boolean receiveAnnouncement(Announcement announcement) {
         if (!tables.containsKey(announcement.zone())) {
             return false;
         }
-        if (take(announcement)) {
-            Frame frame = report(announcement);
+        if (accept(announcement)) {
+            Frame frame = reportFrame(announcement);
             peers.get(announcement.zone()).forEach(host -> transport.send(host, frame));
         }
         return true;
     }
 
     /** Takes an announcement that another host has passed on. */
-    public void received(UpstreamReport report) {
-        take(Json.read(Announcement.class, report.getAnnouncement().toByteArray()));
+    public void receive(UpstreamReport report) {
+        accept(Json.read(Announcement.class, report.getAnnouncement().toByteArray()));
     }
 
     /** Answers another host's digest with what is newer here. */
-    public void received(UpstreamDigest digest, Replier replier) {
+    public void receive(UpstreamDigest digest, Replier replier) {
         Map<String, UpstreamVersion> theirs = new HashMap<>();
         digest.getVersionsList().forEach(version -> theirs.put(version.getId(), version));
         ZoneId zone = new ZoneId(digest.getZone());
-        for (Announcement mine : all(zone)) {
+        for (Announcement mine : announcements(zone)) {
             UpstreamVersion known = theirs.get(mine.id().value());
-            if (known == null || newer(mine, known)) {
-                replier.send(report(mine));
+            if (known == null || isNewer(mine, known)) {
+                replier.send(reportFrame(mine));
             }
         }
     }
 
     /** Compares what is held with one other host of each zone; to be called regularly. */
-    public void compare(int turn) {
+    public void sendDigests(int turn) {
         peers.forEach(
                 (zone, hosts) -> {
                     if (!hosts.isEmpty()) {
                         List<HostId> list = List.copyOf(hosts);
-                        transport.send(list.get(turn % list.size()), digest(zone));
+                        transport.send(list.get(turn % list.size()), digestFrame(zone));
                     }
                 });
     }
 
     /** Drops the upstreams that have been silent; to be called regularly. */
     public void expire() {
-        List<Lost> lost = new ArrayList<>();
+        List<LostUpstream> lost = new ArrayList<>();
         synchronized (this) {
             tables.forEach(
                     (zone, table) ->
                             table.expire(BootClock.nanos())
-                                    .forEach(upstream -> lost.add(new Lost(zone, upstream))));
+                                    .forEach(
+                                            upstream ->
+                                                    lost.add(new LostUpstream(zone, upstream))));
         }
-        for (Lost item : lost) {
-            listeners.forEach(listener -> listener.lost(item.zone(), item.upstream()));
+        for (LostUpstream item : lost) {
+            listeners.forEach(listener -> listener.upstreamLost(item.zone(), item.upstream()));
         }
     }
 
     /** Returns the latest announcements of a zone. */
-    public synchronized Collection<Announcement> all(ZoneId zone) {
+    public synchronized Collection<Announcement> announcements(ZoneId zone) {
         UpstreamTable table = tables.get(zone);
         return table == null ? List.of() : table.all();
     }
 
-    private record Lost(ZoneId zone, UpstreamId upstream) {}
+    private record LostUpstream(ZoneId zone, UpstreamId upstream) {}
 
-    private boolean take(Announcement announcement) {
+    private boolean accept(Announcement announcement) {
         Optional<Announcement> kept;
         synchronized (this) {
             UpstreamTable table = tables.get(announcement.zone());
@@ -143,13 +145,14 @@
             }
             kept = table.offer(announcement, BootClock.nanos());
         }
-        kept.ifPresent(now -> listeners.forEach(listener -> listener.announced(now.zone(), now)));
+        kept.ifPresent(
+                now -> listeners.forEach(listener -> listener.upstreamAnnounced(now.zone(), now)));
         return kept.isPresent();
     }
 
-    private Frame digest(ZoneId zone) {
+    private Frame digestFrame(ZoneId zone) {
         UpstreamDigest.Builder digest = UpstreamDigest.newBuilder().setZone(zone.value());
-        for (Announcement mine : all(zone)) {
+        for (Announcement mine : announcements(zone)) {
             digest.addVersions(
                     UpstreamVersion.newBuilder()
                             .setId(mine.id().value())
@@ -159,14 +162,14 @@
         return Frame.newBuilder().setDigest(digest).build();
     }
 
-    private static boolean newer(Announcement mine, UpstreamVersion theirs) {
+    private static boolean isNewer(Announcement mine, UpstreamVersion theirs) {
         if (mine.incarnation() != theirs.getIncarnation()) {
             return mine.incarnation() > theirs.getIncarnation();
         }
         return mine.sequence() > theirs.getSequence();
     }
 
-    private static Frame report(Announcement announcement) {
+    private static Frame reportFrame(Announcement announcement) {
         byte[] bytes = Json.write(Announcement.class, announcement);
         return Frame.newBuilder()
                 .setUpstream(
--- a/stackhall-server/src/main/java/io/stackhall/server/operators/MeasuresReporter.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/operators/MeasuresReporter.java
@@ -37,7 +37,7 @@
 
     MeasuresReply measures() {
         int accelerators =
-                upstreams.all(settings.zone()).stream()
+                upstreams.announcements(settings.zone()).stream()
                         .filter(Announcement::engine)
                         .mapToInt(engine -> engine.memory().accelerators())
                         .sum();
--- a/stackhall-server/src/main/java/io/stackhall/server/operators/StatusReporter.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/operators/StatusReporter.java
@@ -55,11 +55,11 @@
                 StatusReply.newBuilder()
                         .setRevision(config.current().revision())
                         .setDeployment(DeploymentMapper.fromCore(config.current().deployment()));
-        Map<String, ConfigExchange.Follower> ordered = new TreeMap<>();
-        exchange.followers().forEach((host, of) -> ordered.put(host.value(), of));
+        Map<String, ConfigExchange.HostReport> ordered = new TreeMap<>();
+        exchange.hostReports().forEach((host, of) -> ordered.put(host.value(), of));
         ordered.forEach(
                 (host, follower) -> {
-                    if (follower.recent()) {
+                    if (follower.isRecent()) {
                         reply.addHosts(encode(new HostId(host), follower));
                     }
                 });
@@ -74,7 +74,7 @@
                         ? new OrderLedger.State(List.of(), List.of(), 0)
                         : read(zone.readLocal(state -> ((ZoneState) state).orders().state()));
         UpstreamsReply.Builder reply = UpstreamsReply.newBuilder();
-        for (Announcement announcement : upstreams.all(settings.zone())) {
+        for (Announcement announcement : upstreams.announcements(settings.zone())) {
             reply.addUpstreams(encode(announcement, orders));
         }
         return reply.build();
@@ -94,12 +94,12 @@
         return read(replica.remove(host));
     }
 
-    private static HostStatus encode(HostId host, ConfigExchange.Follower follower) {
+    private static HostStatus encode(HostId host, ConfigExchange.HostReport follower) {
         return HostStatus.newBuilder()
                 .setHost(host.value())
                 .setZone(follower.zone().value())
                 .setRevision(follower.revision())
-                .setMillisToForce(follower.millisToForce())
+                .setMillisToForce(follower.activationMillis())
                 .build();
     }
 
