--- a/stackhall-server/src/main/java/io/stackhall/server/node/ConfigExchange.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/ConfigExchange.java
@@ -19,8 +19,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Spreads the configuration: every host tells the control hosts and its zone what it has, whoever
- * has a newer one answers with it, and a new one is passed on at once.
+ * Distributes the configuration. Every host regularly reports its active revision to the control
+ * hosts and to the hosts of its zone, and a host with a newer revision replies with it. A new
+ * revision is also forwarded as soon as it is active.
  */
 public final class ConfigExchange {
 
@@ -35,13 +36,17 @@
     private final Map<HostId, HostReport> hostReports = new ConcurrentHashMap<>();
     private volatile boolean leading;
 
-    /** Creates an exchange for a store. */
+    /**
+     * Creates an exchange for a store.
+     *
+     * @param processId random number of this process
+     */
     public ConfigExchange(
-            Settings settings, ConfigStore store, PeerTransport transport, long process) {
+            Settings settings, ConfigStore store, PeerTransport transport, long processId) {
         this.settings = settings;
         this.store = store;
         this.transport = transport;
-        this.processId = process;
+        this.processId = processId;
         List<HostId> all = settings.hosts().stream().map(Settings.Host::host).toList();
         this.otherHosts = without(settings.host(), all);
         this.zonePeers = without(settings.host(), settings.hostsIn(settings.zone()));
@@ -49,33 +54,34 @@
     }
 
     /**
-     * What a host has said of itself.
+     * The latest report of a host.
      *
      * @param zone its zone
-     * @param revision what is in force there
-     * @param millisToForce how long that took
-     * @param process drawn at the start of its process
-     * @param at when it spoke, on the monotonic clock
+     * @param revision the configuration revision that is active there
+     * @param activationMillis time from the acceptance of the revision to its activation there, in
+     *     milliseconds
+     * @param processId random number that the host drew at the start of its process
+     * @param receivedAt when the report was received, on this host's monotonic clock in nanoseconds
      */
     public record HostReport(
             ZoneId zone, long revision, long activationMillis, long processId, long receivedAt) {
-        /** Returns whether it has spoken lately. */
+        /** Returns whether the report was received within the last 10 seconds. */
         public boolean isRecent() {
             return BootClock.nanos() - receivedAt < MAX_REPORT_AGE_NANOS;
         }
     }
 
-    /** Tells the control hosts and the zone what is in force here; to be called regularly. */
+    /** Reports the active revision to the control hosts and the zone; called periodically. */
     public void sendReport() {
-        ConfigStore.ActiveConfiguration inForce = store.active();
+        ConfigStore.ActiveConfiguration active = store.active();
         Frame frame =
                 Frame.newBuilder()
                         .setFollow(
                                 ConfigFollow.newBuilder()
                                         .setHost(settings.host().value())
                                         .setZone(settings.zone().value())
-                                        .setRevision(inForce.configuration().revision())
-                                        .setMillisToForce(inForce.activationMillis())
+                                        .setRevision(active.configuration().revision())
+                                        .setMillisToForce(active.activationMillis())
                                         .setProcess(processId))
                         .build();
         settings.groups().control().forEach(host -> transport.send(host, frame));
@@ -85,7 +91,7 @@
         recordReport(settings.host(), frame.getFollow());
     }
 
-    /** Takes what another host says of itself. */
+    /** Handles another host's report and replies with the configuration if it is newer here. */
     public void receive(ConfigFollow follow, Replier replier) {
         recordReport(new HostId(follow.getHost()), follow);
         if (follow.getRevision() < store.current().revision()) {
@@ -93,36 +99,38 @@
         }
     }
 
-    /** Takes a configuration from another host. */
+    /** Handles a configuration from another host; an older or equal revision is ignored. */
     public void receive(ConfigUpdate update) {
         if (update.getRevision() > store.current().revision()) {
-            Configuration next =
+            Configuration received =
                     Json.read(Configuration.class, update.getConfiguration().toByteArray());
-            store.offer(next, update.getAgeMillis());
+            store.offer(received, update.getAgeMillis());
         }
     }
 
-    /** Returns what each host has said of itself lately. */
+    /** Returns the latest report of each host, however old. */
     public Map<HostId, HostReport> hostReports() {
         return Map.copyOf(hostReports);
     }
 
-    /** Returns the process that a host last spoke from. */
+    /** Returns the process id in the latest report of a host. */
     public Optional<Long> processIdOf(HostId host) {
         return Optional.ofNullable(hostReports.get(host)).map(HostReport::processId);
     }
 
-    /** Notes whether this host leads the control group. */
-    public void setLeading(boolean leads) {
-        leading = leads;
+    /** Sets whether this host leads the control group. */
+    public void setLeading(boolean leading) {
+        this.leading = leading;
     }
 
-    /** The control leader sends a new configuration to every host, others to their zone. */
+    /**
+     * Sends the configuration to all hosts from the control leader, else to the hosts of the zone.
+     */
     private void forward() {
         if (store.current().revision() > 0) {
             Frame frame = updateFrame();
-            List<HostId> to = leading ? otherHosts : zonePeers;
-            to.forEach(host -> transport.send(host, frame));
+            List<HostId> recipients = leading ? otherHosts : zonePeers;
+            recipients.forEach(host -> transport.send(host, frame));
         }
     }
 
@@ -142,14 +150,14 @@
     }
 
     private Frame updateFrame() {
-        ConfigStore.ActiveConfiguration inForce = store.active();
-        byte[] bytes = Json.write(Configuration.class, inForce.configuration());
+        ConfigStore.ActiveConfiguration active = store.active();
+        byte[] bytes = Json.write(Configuration.class, active.configuration());
         return Frame.newBuilder()
                 .setUpdate(
                         ConfigUpdate.newBuilder()
-                                .setRevision(inForce.configuration().revision())
+                                .setRevision(active.configuration().revision())
                                 .setConfiguration(ByteString.copyFrom(bytes))
-                                .setAgeMillis(inForce.ageMillis()))
+                                .setAgeMillis(active.ageMillis()))
                 .build();
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/node/ConfigStore.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/ConfigStore.java
@@ -20,11 +20,11 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The configuration in force on this host. It comes into force whole, and never goes back a
- * revision; on a host with a disk it is there again after a restart.
+ * The active configuration of this host. A configuration is activated as a whole, and its revision
+ * never decreases. On a host with a disk it is saved, and loaded again after a restart.
  *
- * <p>It is saved and put into force on a thread of its own. Of several that come meanwhile only the
- * newest is.
+ * <p>Configurations are saved and activated on a separate thread. Of several that are offered in
+ * the meantime, only the newest is activated.
  */
 public final class ConfigStore implements AutoCloseable {
 
@@ -43,46 +43,50 @@
     /**
      * Opens the store.
      *
-     * @param folder where the configuration lasts, on a host with a disk
-     * @throws UncheckedIOException if what lasts cannot be read
+     * @param dataFolder where the configuration is saved, on a host with a disk
+     * @throws UncheckedIOException if the saved configuration cannot be read
      */
-    public ConfigStore(Optional<DataFolder> folder) {
-        this.file = folder.map(open -> open.resolve(FILE));
+    public ConfigStore(Optional<DataFolder> dataFolder) {
+        this.file = dataFolder.map(folder -> folder.resolve(FILE));
         file.filter(Files::exists).ifPresent(this::load);
     }
 
     /**
-     * A configuration, and how it came into force.
+     * The active configuration and its activation times.
      *
-     * @param configuration what is in force
-     * @param acceptedAt when it was accepted, as far as is known, on this host's monotonic clock
-     * @param millisToForce from its acceptance to its being in force here
+     * @param configuration the configuration
+     * @param acceptedAt when it was accepted, on this host's monotonic clock in nanoseconds; for a
+     *     configuration loaded from disk, when it was loaded
+     * @param activationMillis time from its acceptance to its activation here, in milliseconds
      */
     public record ActiveConfiguration(
             Configuration configuration, long acceptedAt, long activationMillis) {
-        /** Returns the milliseconds since it was accepted. */
+        /** Returns the time since it was accepted, in milliseconds. */
         public long ageMillis() {
             return TimeUnit.NANOSECONDS.toMillis(BootClock.nanos() - acceptedAt);
         }
     }
 
-    /** Returns what is in force. */
+    /** Returns the active configuration. */
     public Configuration current() {
         return active.configuration();
     }
 
-    /** Returns what is in force and since when. */
+    /** Returns the active configuration with its activation times. */
     public ActiveConfiguration active() {
         return active;
     }
 
-    /** Has a listener called with what is in force now, and with each later configuration. */
+    /**
+     * Adds a listener. It is called at once with the active configuration, and later on the store's
+     * thread with each new one.
+     */
     public void addListener(Consumer<Configuration> listener) {
         listeners.add(listener);
         listener.accept(current());
     }
 
-    /** A configuration that may come into force, and when it was accepted. */
+    /** A configuration that may be activated, and when it was accepted. */
     private record Offer(Configuration configuration, long acceptedAt) {
         private static Offer newer(Offer left, Offer right) {
             if (left == null) {
@@ -94,16 +98,16 @@
     }
 
     /**
-     * Takes a committed configuration; if it is the newest it soon comes into force.
+     * Offers a committed configuration, which is activated asynchronously if it is the newest.
      *
-     * @param ageMillis since it was accepted
+     * @param ageMillis time since it was accepted, in milliseconds
      */
-    public void offer(Configuration next, long ageMillis) {
-        if (next.revision() <= current().revision() || executor.isShutdown()) {
+    public void offer(Configuration configuration, long ageMillis) {
+        if (configuration.revision() <= current().revision() || executor.isShutdown()) {
             return;
         }
         long acceptedAt = BootClock.nanos() - TimeUnit.MILLISECONDS.toNanos(ageMillis);
-        newestOffer.accumulateAndGet(new Offer(next, acceptedAt), Offer::newer);
+        newestOffer.accumulateAndGet(new Offer(configuration, acceptedAt), Offer::newer);
         executor.execute(this::activateNewest);
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/node/Daemon.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/Daemon.java
@@ -36,10 +36,13 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * One process of the system: an entry host, and a keeper of whatever groups its settings name.
+ * One process of the system with fixed membership. It is an entry host, and runs a replica of each
+ * group whose members in the settings include it.
  *
- * <p>Its parts start in the order in which they need each other, and stop in the opposite one. A
- * planned stop first leaves the balancer, then hands leadership over, and cuts no request.
+ * <p>Components start in the order of their dependencies and stop in the reverse order. A planned
+ * stop first reports not ready, so that load balancers send no more requests, then transfers
+ * leaderships and waits for the requests in flight. It interrupts no request within the drain bound
+ * of the settings.
  */
 public final class Daemon implements AutoCloseable {
 
@@ -54,12 +57,12 @@
     private static final Duration MAX_ORDER_TIMEOUT = Duration.ofSeconds(15);
     private static final int ORDER_SENDS_PER_LIFETIME = 4;
     private static final Duration DECISION_INTERVAL = Duration.ofMillis(100);
+    private static final int PEER_THREADS = 2;
 
     private final Settings settings;
     private final Optional<DataFolder> dataFolder;
     private final Random random = new Random();
     private final long processId = random.nextLong(1, Long.MAX_VALUE);
-    private static final int PEER_THREADS = 2;
 
     private final PeerTransport transport;
     private final NodeGroups groups;
@@ -82,7 +85,7 @@
     private int digestRound;
 
     /**
-     * Creates a process from its settings; it does not run yet.
+     * Creates a process from its settings without starting it.
      *
      * @throws IOException if its data folder cannot be used or holds damaged state
      */
@@ -143,7 +146,7 @@
                                                 placement));
     }
 
-    /** Starts every part. */
+    /** Starts all components. */
     public void start() throws IOException {
         upstreamExchange.addListener(new DriverNotifier());
         config.addListener(traffic::applyConfiguration);
@@ -175,17 +178,20 @@
         }
     }
 
-    /** Leaves without cutting a request: not ready, leadership handed over, requests ended. */
+    /**
+     * Reports not ready, transfers leaderships and blocks until the grace period has passed and no
+     * request is in flight, or until the drain bound of the settings has passed.
+     */
     public void drain() {
         stopping = true;
         logger.info("daemon.draining host={}", settings.host());
         callers.stopTakingWork();
         neighbours.sendReport();
         groups.transferLeaderships();
-        long grace = BootClock.nanos() + settings.timing().drainGrace().toNanos();
-        long bound = BootClock.nanos() + settings.timing().drainBound().toNanos();
-        while (BootClock.nanos() - bound < 0) {
-            boolean graceOver = BootClock.nanos() - grace >= 0;
+        long graceEnd = BootClock.nanos() + settings.timing().drainGrace().toNanos();
+        long deadline = BootClock.nanos() + settings.timing().drainBound().toNanos();
+        while (BootClock.nanos() - deadline < 0) {
+            boolean graceOver = BootClock.nanos() - graceEnd >= 0;
             if (graceOver && traffic.inFlight().get() == 0) {
                 return;
             }
@@ -233,7 +239,10 @@
         }
     }
 
-    /** A load that takes longer is joined by the resent order. */
+    /**
+     * Returns how long to wait for the answer to one copy of an order: a quarter of the order
+     * lifetime, at most 15 seconds. If the load takes longer, the resent order joins it.
+     */
     private Duration orderTimeout() {
         Duration share = settings.timing().orderLifetime().dividedBy(ORDER_SENDS_PER_LIFETIME);
         return share.compareTo(MAX_ORDER_TIMEOUT) < 0 ? share : MAX_ORDER_TIMEOUT;
@@ -315,7 +324,7 @@
         }
     }
 
-    /** Puts a committed configuration into force on this host. */
+    /** Offers a committed configuration to the store of this host. */
     private final class ControlListener implements GroupListener {
         private final ControlState state;
 
@@ -334,7 +343,7 @@
         }
     }
 
-    /** Tells the placement of a zone what its group has done. */
+    /** Notifies the placement of a zone of changes in the state and leadership of its group. */
     private static final class ZoneListener implements GroupListener {
         private final ZoneState state;
         private final PlacementDriver driver;
@@ -355,7 +364,7 @@
         }
     }
 
-    /** Tells routing and placement what becomes known of upstreams. */
+    /** Notifies the traffic and placement drivers of announced and lost upstreams. */
     private final class DriverNotifier implements UpstreamExchange.Listener {
         @Override
         public void upstreamAnnounced(ZoneId zone, Announcement announcement) {
--- a/stackhall-server/src/main/java/io/stackhall/server/node/DemandExchange.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/DemandExchange.java
@@ -12,7 +12,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Tells the placement of this zone what callers ask for here, and hears the same of others. */
+/**
+ * Reports the demand for each model at this host to the members of the zone's group, and passes the
+ * reports that it receives to the placement of their zone.
+ */
 final class DemandExchange {
 
     private final Settings settings;
@@ -34,12 +37,12 @@
         this.metrics = metrics;
     }
 
-    /** Tells what was asked for since the last call; to be called regularly. */
+    /** Reports the arrivals since the last call and the waiting requests; called periodically. */
     void sendReport() {
         traffic.drainDemand().thenAccept(this::sendReport);
     }
 
-    /** Takes an entry host's report. */
+    /** Passes an entry host's report to the placement of its zone, if this host runs it. */
     void receive(DemandReport report) {
         PlacementDriver driver = placement.get(new ZoneId(report.getZone()));
         if (driver == null) {
--- a/stackhall-server/src/main/java/io/stackhall/server/node/Housekeeping.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/Housekeeping.java
@@ -26,10 +26,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What a leader finds that nobody asks about: attempts that are gone, and answers kept long enough.
+ * Removes stale records from the groups that this host leads: it ends the claims and work items of
+ * lost attempts, and deletes answers after their retention time.
  *
- * <p>Ages are counted from when this process first saw a thing as the leader, so that a change of
- * leader only ever keeps things longer.
+ * <p>Ages are counted from when this process first saw a record as the leader, so that a change of
+ * leader can only extend the retention.
  */
 final class Housekeeping {
 
@@ -45,7 +46,7 @@
         this.configExchange = exchange;
     }
 
-    /** Looks after the claims of a zone that this host leads. */
+    /** Removes stale claims of a zone's group, if this host leads it. */
     void cleanUpClaims(GroupHost group) {
         if (!group.holdsLeaseNow()) {
             return;
@@ -54,7 +55,7 @@
                 .thenAccept(state -> removeStaleClaims(group, state));
     }
 
-    /** Looks after the accepted work, if this host leads the control group. */
+    /** Removes stale work items of the control group, if this host leads it. */
     void cleanUpWork(GroupHost group) {
         if (!group.holdsLeaseNow()) {
             return;
@@ -65,18 +66,18 @@
 
     private synchronized void removeStaleClaims(GroupHost group, ClaimTable.State state) {
         Set<Object> seen = new HashSet<>();
-        List<ClaimKey> old = new ArrayList<>();
+        List<ClaimKey> expired = new ArrayList<>();
         for (ClaimTable.Held held : state.claims()) {
             seen.add(held.key());
             boolean claimed = held.progress() == ClaimTable.Progress.CLAIMED;
             if (claimed && isOlderThan(held.key(), timing.longestRun().toNanos())) {
                 send(group, new ClaimCommand.Abandon(held.key(), held.token()));
             } else if (!claimed && isOlderThan(held.key(), timing.claimRetention().toNanos())) {
-                old.add(held.key());
+                expired.add(held.key());
             }
         }
-        if (!old.isEmpty()) {
-            send(group, new ClaimCommand.Forget(old));
+        if (!expired.isEmpty()) {
+            send(group, new ClaimCommand.Forget(expired));
         }
         if (state.memoryLost()) {
             seen.add(ClaimCommand.TrustMemory.class);
@@ -89,7 +90,7 @@
 
     private synchronized void removeStaleWork(GroupHost group, List<WorkItem> items) {
         Set<Object> seen = new HashSet<>();
-        List<WorkId> old = new ArrayList<>();
+        List<WorkId> expired = new ArrayList<>();
         for (WorkItem item : items) {
             seen.add(item.id());
             boolean running = item.progress() == WorkItem.Progress.RUNNING;
@@ -97,32 +98,36 @@
                 send(group, new WorkCommand.Lose(item.id(), item.holder().orElseThrow()));
             } else if (item.progress().ended()
                     && isOlderThan(item.id(), timing.claimRetention().toNanos())) {
-                old.add(item.id());
+                expired.add(item.id());
             }
         }
-        if (!old.isEmpty()) {
-            send(group, new WorkCommand.Forget(old));
+        if (!expired.isEmpty()) {
+            send(group, new WorkCommand.Forget(expired));
         }
         firstSeen.keySet().removeIf(key -> key instanceof WorkId && !seen.contains(key));
     }
 
-    /** An attempt is gone when its host speaks from another process, or has long been silent. */
+    /**
+     * Returns whether the attempt at a work item is lost: its host reports another process id, or
+     * has not reported for the longest permitted run, during which the item was known to be
+     * running.
+     */
     private boolean isAttemptLost(WorkItem item) {
         AttemptToken token = item.holder().orElseThrow();
         String[] parts = token.value().split("/", TOKEN_PARTS);
-        Optional<ConfigExchange.HostReport> host =
+        Optional<ConfigExchange.HostReport> report =
                 Optional.ofNullable(configExchange.hostReports().get(new HostId(parts[0])));
-        long process = Long.parseUnsignedLong(parts[1], HEX_RADIX);
-        if (host.isPresent() && host.get().processId() != process) {
+        long processId = Long.parseUnsignedLong(parts[1], HEX_RADIX);
+        if (report.isPresent() && report.get().processId() != processId) {
             return true;
         }
-        boolean silent = host.isEmpty() || !host.get().isRecent();
-        long patience = timing.longestRun().toNanos();
-        return silent && isOlderThan(item.id(), patience) && ageOf(host) > patience;
+        boolean silent = report.isEmpty() || !report.get().isRecent();
+        long timeout = timing.longestRun().toNanos();
+        return silent && isOlderThan(item.id(), timeout) && ageOf(report) > timeout;
     }
 
-    private static long ageOf(Optional<ConfigExchange.HostReport> host) {
-        return host.map(of -> BootClock.nanos() - of.receivedAt()).orElse(Long.MAX_VALUE);
+    private static long ageOf(Optional<ConfigExchange.HostReport> report) {
+        return report.map(of -> BootClock.nanos() - of.receivedAt()).orElse(Long.MAX_VALUE);
     }
 
     private boolean isOlderThan(Object key, long nanos) {
@@ -138,7 +143,7 @@
         group.command(Json.write(ControlCommand.class, new ControlCommand.ChangeWork(command)));
     }
 
-    /** Returns the interval between two rounds, in milliseconds. */
+    /** Returns the interval between two runs, in milliseconds. */
     static long intervalMillis() {
         return TimeUnit.SECONDS.toMillis(1);
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/node/NeighbourExchange.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/NeighbourExchange.java
@@ -23,7 +23,10 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Tells hosts of other zones what this zone can serve, and hears the same of theirs. */
+/**
+ * Announces what this zone can serve to hosts of other zones, and receives the announcements of
+ * those zones.
+ */
 final class NeighbourExchange {
 
     private static final Logger logger = LogManager.getLogger(NeighbourExchange.class);
@@ -56,9 +59,9 @@
         this.neighbours = new UpstreamTable(settings.timing().upstreamSilence());
     }
 
-    /** Tells the other zones; to be called regularly. */
+    /** Sends an announcement of this zone to the neighbours; called periodically. */
     void sendReport() {
-        Announcement said =
+        Announcement announcement =
                 Neighbours.zoneAnnouncement(
                         new Neighbours.AnnouncingHost(
                                 settings.host(),
@@ -69,11 +72,11 @@
                         upstreams.announcements(settings.zone()),
                         config.current().draining()::contains,
                         stopping.getAsBoolean());
-        Frame frame = Frame.newBuilder().setNeighbour(encode(said)).build();
+        Frame frame = Frame.newBuilder().setNeighbour(encode(announcement)).build();
         recipients.forEach(host -> transport.send(host, frame));
     }
 
-    /** Takes what a host of another zone says of it. */
+    /** Handles the announcement of a host for its zone; a malformed one is logged and ignored. */
     void receive(NeighbourReport report) {
         Announcement announcement;
         try {
@@ -82,14 +85,14 @@
             logger.warn("neighbour.malformed host={} {}", report.getHost(), e.getMessage());
             return;
         }
-        Optional<Announcement> kept;
+        Optional<Announcement> accepted;
         synchronized (neighbours) {
-            kept = neighbours.offer(announcement, BootClock.nanos());
+            accepted = neighbours.offer(announcement, BootClock.nanos());
         }
-        kept.ifPresent(traffic::receiveNeighbourAnnouncement);
+        accepted.ifPresent(traffic::receiveNeighbourAnnouncement);
     }
 
-    /** Forgets the hosts that have been silent; to be called regularly. */
+    /** Removes the hosts whose announcements have timed out; called periodically. */
     void expire() {
         List<UpstreamId> lost;
         synchronized (neighbours) {
@@ -98,41 +101,45 @@
         lost.forEach(traffic::removeNeighbour);
     }
 
-    /** Returns the hosts of other zones that hear this one. */
+    /** Returns the hosts of other zones to which this host announces its zone. */
     private static List<HostId> recipientsOf(Settings settings) {
-        List<HostId> own = ranked(settings, settings.zone());
-        List<HostId> listeners = new ArrayList<>();
+        List<HostId> ownZone = ranked(settings, settings.zone());
+        List<HostId> recipients = new ArrayList<>();
         for (ZoneId zone : settings.zones()) {
-            List<HostId> there = ranked(settings, zone);
-            for (int rank = 0; rank < there.size() && !zone.equals(settings.zone()); rank++) {
-                if (Neighbours.neighboursOf(rank, own).contains(settings.host())) {
-                    listeners.add(there.get(rank));
+            List<HostId> otherZone = ranked(settings, zone);
+            for (int rank = 0; rank < otherZone.size() && !zone.equals(settings.zone()); rank++) {
+                if (Neighbours.neighboursOf(rank, ownZone).contains(settings.host())) {
+                    recipients.add(otherZone.get(rank));
                 }
             }
         }
-        return List.copyOf(listeners);
+        return List.copyOf(recipients);
     }
 
-    /** Every host has to count the ranks alike, whatever the order of its settings. */
+    /**
+     * Sorts the hosts of a zone, so that ranks agree on all hosts whatever the order of settings.
+     */
     private static List<HostId> ranked(Settings settings, ZoneId zone) {
         return settings.hostsIn(zone).stream().sorted(Comparator.comparing(HostId::value)).toList();
     }
 
-    private NeighbourReport encode(Announcement said) {
+    private NeighbourReport encode(Announcement announcement) {
         return NeighbourReport.newBuilder()
                 .setHost(settings.host().value())
-                .setZone(said.zone().value())
-                .setAddress(said.address())
-                .setProcess(said.incarnation())
-                .setSequence(said.sequence())
+                .setZone(announcement.zone().value())
+                .setAddress(announcement.address())
+                .setProcess(announcement.incarnation())
+                .setSequence(announcement.sequence())
                 .addAllModels(
-                        values(said.memory().resident().stream().map(of -> of.artifact().id())))
-                .addAllServices(values(said.services().stream()))
-                .setAccelerators(said.memory().accelerators())
-                .setSlots(said.load().slots())
-                .setRunning(said.load().running())
-                .setQueued(said.load().queued())
-                .setLeaving(said.leaving())
+                        values(
+                                announcement.memory().resident().stream()
+                                        .map(of -> of.artifact().id())))
+                .addAllServices(values(announcement.services().stream()))
+                .setAccelerators(announcement.memory().accelerators())
+                .setSlots(announcement.load().slots())
+                .setRunning(announcement.load().running())
+                .setQueued(announcement.load().queued())
+                .setLeaving(announcement.leaving())
                 .build();
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/node/NodeGroups.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/NodeGroups.java
@@ -30,7 +30,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.random.RandomGenerator;
 
-/** The replicas that this host runs: of the control group, of its zone's, and as a witness. */
+/**
+ * The replicas that this host runs: of the control group, of its zone's group, and of the groups of
+ * other zones in which it votes as a witness.
+ */
 final class NodeGroups implements AutoCloseable {
 
     private static final int MAX_ENTRIES_PER_MESSAGE = 512;
@@ -54,22 +57,22 @@
         this.random = random;
     }
 
-    /** Returns the running replicas by group; it fills as they are opened. */
+    /** Returns a live view of the opened replicas by group name. */
     Map<String, GroupHost> replicas() {
         return replicas;
     }
 
-    /** Opens the replica of the control group, if this host keeps one. */
+    /** Opens the replica of the control group, if this host is a member. */
     void openControl(ControlState state, GroupListener listener) throws IOException {
         open(Settings.CONTROL_GROUP, settings.groups().control(), state, listener);
     }
 
-    /** Opens the replica of a zone's group, if this host keeps one. */
+    /** Opens the replica of a zone's group, if this host is a member. */
     void openZone(ZoneId zone, ZoneState state, GroupListener listener) throws IOException {
         open(Settings.zoneGroup(zone), settings.groups().zones().get(zone), state, listener);
     }
 
-    /** Takes a message for one of the replicas. */
+    /** Passes a replication message to its replica; it is ignored if this host has none. */
     void receive(Raft raft) {
         GroupHost host = replicas.get(raft.getGroup());
         if (host != null) {
@@ -77,7 +80,7 @@
         }
     }
 
-    /** Takes a hello for one of the replicas. */
+    /** Passes a hello to its replica; it is ignored if this host has none. */
     void receive(io.stackhall.rpc.generated.peer.Hello hello) {
         GroupHost host = replicas.get(hello.getGroup());
         if (host != null) {
@@ -85,7 +88,7 @@
         }
     }
 
-    /** Hands every leadership over. */
+    /** Transfers the leadership of every group that this host leads. */
     void transferLeaderships() {
         replicas.values().forEach(GroupHost::transfer);
     }
@@ -144,7 +147,7 @@
                 EVERY_HOST_VOTES);
     }
 
-    /** Carries a group's messages over the connections between hosts. */
+    /** Sends the messages of a group over the connections between hosts. */
     private final class Wire implements GroupWire {
         private final List<HostId> members;
 
--- a/stackhall-server/src/main/java/io/stackhall/server/node/PlacementDriver.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/PlacementDriver.java
@@ -31,7 +31,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Runs the placement coordinator of one zone on one thread and carries its effects out. */
+/** Runs the placement coordinator of one zone on one thread and executes its effects. */
 public final class PlacementDriver implements AutoCloseable {
 
     private static final Logger logger = LogManager.getLogger(PlacementDriver.class);
@@ -53,12 +53,12 @@
     }
 
     /**
-     * The measures of a zone's policies, as its present leader counts them.
+     * The counts of a zone's placement policies, as the current leader of its group counts them.
      *
-     * @param active the policy in force
-     * @param counts what it has cost and missed
-     * @param byPolicy the same of every policy that has been in force
-     * @param compared what the compared policy would have cost and missed
+     * @param active the active policy
+     * @param counts loads and misses under the active policy
+     * @param byPolicy loads and misses under each policy that has been active
+     * @param compared estimated loads and misses of the shadow policy, if there is one
      */
     public record Measures(
             PolicyName active,
@@ -66,10 +66,10 @@
             Map<PolicyName, PlacementCounts> byPolicy,
             Optional<ComparedPolicy> compared) {}
 
-    /** What a policy that decides in shadow would have cost and missed. */
+    /** Estimated loads and misses of a policy that is only simulated beside the active one. */
     public record ComparedPolicy(PolicyName policy, PlacementCounts counts) {}
 
-    /** Starts the clock, with the group to which intents are proposed. */
+    /** Starts the periodic ticks; intents are proposed to the given group. */
     public void start(GroupHost zoneGroup) {
         group = zoneGroup;
         executor.scheduleAtFixedRate(
@@ -79,38 +79,38 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Tells that this host leads, or leads no more. */
+    /** Sets whether this host leads the zone's group. */
     public void setLeading(boolean leading, OrderLedger.State state) {
         submit(leading ? new PlacementEvent.Led(state) : new PlacementEvent.Deposed());
     }
 
-    /** Tells of a change of the ledger. */
+    /** Submits a changed order ledger. */
     public void updateLedger(OrderLedger.State state) {
         submit(new PlacementEvent.LedgerChanged(state));
     }
 
-    /** Takes an upstream's announcement. */
+    /** Submits an upstream's announcement. */
     public void receiveAnnouncement(Announcement announcement) {
         submit(new PlacementEvent.Reported(announcement));
     }
 
-    /** Forgets an upstream. */
+    /** Removes an upstream that has timed out. */
     public void removeUpstream(UpstreamId upstream) {
         submit(new PlacementEvent.UpstreamLost(upstream));
     }
 
-    /** Takes the configuration in force. */
+    /** Applies the active configuration. */
     public void applyConfiguration(Configuration configuration) {
         submit(new PlacementEvent.Configured(configuration));
     }
 
-    /** Takes an entry host's demand. */
+    /** Records the arrivals since its last report and the waiting requests of an entry host. */
     public void recordDemand(
             HostId host, Map<ModelId, Integer> arrivals, Map<ModelId, Integer> waiting) {
         submit(new PlacementEvent.Demanded(host, arrivals, waiting));
     }
 
-    /** Returns the measures as they are now. */
+    /** Returns the current measures, read on the driver's thread. */
     public CompletableFuture<Measures> measures() {
         return CompletableFuture.supplyAsync(this::currentMeasures, executor);
     }
@@ -170,7 +170,10 @@
         };
     }
 
-    /** Sends only while the lease holds; a thawed process finds it gone. */
+    /**
+     * Sends an order, provided that the lease is still held when it goes out. A process that was
+     * suspended may have lost it meanwhile.
+     */
     private void send(Order order, String address) {
         logger.info(
                 "placement.order number={} kind={} artifact={} upstream={}",
--- a/stackhall-server/src/main/java/io/stackhall/server/node/TrafficDriver.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/TrafficDriver.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.random.RandomGenerator;
 
-/** Runs the traffic director on one thread and brings its decisions to whoever waits for them. */
+/** Runs the traffic scheduler on one thread and completes the futures of its decisions. */
 public final class TrafficDriver implements AutoCloseable {
 
     private static final long TICK_MILLIS = 20;
@@ -36,7 +36,11 @@
     private final ScheduledExecutorService executor =
             Executors.newSingleThreadScheduledExecutor(task -> new Thread(task, "traffic"));
 
-    /** Creates a driver with standard routing. */
+    /**
+     * Creates a driver with standard routing settings.
+     *
+     * @param maxWaiting maximum number of waiting requests at this host
+     */
     public TrafficDriver(int maxWaiting, RandomGenerator random) {
         AdmissionSettings standard = AdmissionSettings.standard();
         AdmissionSettings settings =
@@ -49,24 +53,31 @@
                 new TrafficScheduler(settings, new Router(RoutingSettings.standard(), random));
     }
 
-    /** What was decided for a request. */
+    /** The decision on a request. */
     public sealed interface Decision {
-        /** Send it there. */
+        /** Send the request to this upstream. */
         record Send(UpstreamId upstream, String address) implements Decision {}
 
-        /** Give it its final answer. */
+        /** Answer the request with this refusal. */
         record GiveUp(Refusal refusal, RequestOutcome outcome, int retryAfterSeconds)
                 implements Decision {}
     }
 
-    /** How much there is to do, and what was asked for since the last call. */
+    /**
+     * The demand at this host.
+     *
+     * @param arrivals requests that have arrived since the last call, by model
+     * @param waitingByModel requests that wait for an upstream, by model
+     * @param waiting all requests that wait for an upstream
+     * @param running requests that have been dispatched and have not ended
+     */
     public record Demand(
             Map<ModelId, Integer> arrivals,
             Map<ModelId, Integer> waitingByModel,
             int waiting,
             int running) {}
 
-    /** Starts the clock. */
+    /** Starts the periodic ticks. */
     public void start() {
         executor.scheduleAtFixedRate(
                 () -> step(new TrafficEvent.Tick()),
@@ -75,7 +86,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Asks for a request to be served. */
+    /** Submits a request; the future completes with the decision on it. */
     public CompletableFuture<Decision> submit(Arrival arrival) {
         CompletableFuture<Decision> decision = new CompletableFuture<>();
         executor.execute(
@@ -86,24 +97,27 @@
         return decision;
     }
 
-    /** Tells that an attempt served its request, or that nothing more can be done for it. */
-    public void recordCompletion(RequestId id, AttemptResult ending, RequestOutcome outcome) {
-        executor.execute(() -> step(new TrafficEvent.AttemptEnded(id, ending, outcome, true)));
+    /** Records that an attempt has ended and that its request needs no further decision. */
+    public void recordCompletion(RequestId id, AttemptResult result, RequestOutcome outcome) {
+        executor.execute(() -> step(new TrafficEvent.AttemptEnded(id, result, outcome, true)));
     }
 
-    /** Tells that an attempt failed before anything reached the caller, and asks what now. */
+    /**
+     * Records that an attempt failed before any part of an answer reached the caller; the future
+     * completes with the next decision.
+     */
     public CompletableFuture<Decision> recordFailure(
-            RequestId id, AttemptResult ending, RequestOutcome why) {
+            RequestId id, AttemptResult result, RequestOutcome outcome) {
         CompletableFuture<Decision> decision = new CompletableFuture<>();
         executor.execute(
                 () -> {
                     pendingDecisions.put(id, decision);
-                    step(new TrafficEvent.AttemptEnded(id, ending, why, false));
+                    step(new TrafficEvent.AttemptEnded(id, result, outcome, false));
                 });
         return decision;
     }
 
-    /** Tells that a request's caller has gone. */
+    /** Withdraws a request whose caller has disconnected; its pending decision never completes. */
     public void withdraw(RequestId id) {
         executor.execute(
                 () -> {
@@ -112,32 +126,32 @@
                 });
     }
 
-    /** Takes an upstream's announcement. */
+    /** Submits an upstream's announcement. */
     public void receiveAnnouncement(Announcement announcement) {
         executor.execute(() -> step(new TrafficEvent.Announced(announcement)));
     }
 
-    /** Forgets an upstream. */
+    /** Removes an upstream that has timed out. */
     public void removeUpstream(UpstreamId upstream) {
         executor.execute(() -> step(new TrafficEvent.UpstreamLost(upstream)));
     }
 
-    /** Takes what another zone's host says of its zone. */
+    /** Submits the announcement of a host of another zone for its zone. */
     public void receiveNeighbourAnnouncement(Announcement announcement) {
         executor.execute(() -> step(new TrafficEvent.NeighbourAnnounced(announcement)));
     }
 
-    /** Forgets another zone's host. */
+    /** Removes a host of another zone that has timed out. */
     public void removeNeighbour(UpstreamId neighbour) {
         executor.execute(() -> step(new TrafficEvent.NeighbourLost(neighbour)));
     }
 
-    /** Takes the configuration in force. */
+    /** Applies the active configuration. */
     public void applyConfiguration(Configuration configuration) {
         executor.execute(() -> step(new TrafficEvent.Configured(configuration)));
     }
 
-    /** Returns what was asked for since the last call, and what waits. */
+    /** Returns the demand and resets the arrivals. */
     public CompletableFuture<Demand> drainDemand() {
         return CompletableFuture.supplyAsync(
                 () ->
@@ -149,7 +163,7 @@
                 executor);
     }
 
-    /** Counts requests within this process, from reception to the end of the answer. */
+    /** Returns the counter of requests in this process, from reception to the end of the answer. */
     public AtomicInteger inFlight() {
         return inFlight;
     }
@@ -176,9 +190,9 @@
     }
 
     private void completeDecision(RequestId id, Decision decision) {
-        CompletableFuture<Decision> waiting = pendingDecisions.remove(id);
-        if (waiting != null) {
-            waiting.complete(decision);
+        CompletableFuture<Decision> pending = pendingDecisions.remove(id);
+        if (pending != null) {
+            pending.complete(decision);
         }
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/node/UpstreamExchange.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/UpstreamExchange.java
@@ -26,8 +26,9 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * What this host knows of the upstreams of the zones it serves: heard from them, or from other
- * hosts of the zone, which pass on what they hear and compare what they hold.
+ * The announcements of the upstreams in the zones that this host serves. Hosts of a zone forward
+ * the announcements that they receive from upstreams, and exchange digests of their tables to find
+ * the ones that they missed.
  */
 public final class UpstreamExchange {
 
@@ -36,26 +37,26 @@
     private final Map<ZoneId, Set<HostId>> peers = new HashMap<>();
     private final List<Listener> listeners = new CopyOnWriteArrayList<>();
 
-    /** Hears what becomes known of upstreams. */
+    /** Is notified of announced and lost upstreams. */
     public interface Listener {
-        /** An upstream has announced itself. */
+        /** Called when a new announcement of an upstream was accepted. */
         void upstreamAnnounced(ZoneId zone, Announcement announcement);
 
-        /** An upstream has been silent for too long. */
+        /** Called when the announcements of an upstream have timed out. */
         void upstreamLost(ZoneId zone, UpstreamId upstream);
     }
 
-    /** Creates an exchange for the host's own zone and the zones whose groups it is in. */
+    /** Creates an exchange for the host's own zone and the zones of whose groups it is a member. */
     public UpstreamExchange(Settings settings, PeerTransport transport) {
         this.transport = transport;
         settings.groups()
                 .zones()
                 .forEach(
                         (zone, members) -> {
-                            Set<HostId> concerned = new LinkedHashSet<>(members);
-                            concerned.addAll(settings.hostsIn(zone));
-                            if (concerned.remove(settings.host())) {
-                                peers.put(zone, concerned);
+                            Set<HostId> zoneHosts = new LinkedHashSet<>(members);
+                            zoneHosts.addAll(settings.hostsIn(zone));
+                            if (zoneHosts.remove(settings.host())) {
+                                peers.put(zone, zoneHosts);
                                 Settings.Timing timing = settings.timing();
                                 tables.put(zone, new UpstreamTable(timing.upstreamSilence()));
                             }
@@ -68,9 +69,9 @@
     }
 
     /**
-     * Takes an announcement from an upstream itself and passes it on.
+     * Handles an announcement that an upstream sent to this host, and forwards it if it is new.
      *
-     * @return whether its zone is one that this host serves
+     * @return whether this host serves the zone of the upstream
      */
     public boolean receiveAnnouncement(Announcement announcement) {
         if (!tables.containsKey(announcement.zone())) {
@@ -83,12 +84,12 @@
         return true;
     }
 
-    /** Takes an announcement that another host has passed on. */
+    /** Handles an announcement that another host has forwarded. */
     public void receive(UpstreamReport report) {
         accept(Json.read(Announcement.class, report.getAnnouncement().toByteArray()));
     }
 
-    /** Answers another host's digest with what is newer here. */
+    /** Replies to another host's digest with the announcements that are newer here. */
     public void receive(UpstreamDigest digest, Replier replier) {
         Map<String, UpstreamVersion> theirs = new HashMap<>();
         digest.getVersionsList().forEach(version -> theirs.put(version.getId(), version));
@@ -101,18 +102,22 @@
         }
     }
 
-    /** Compares what is held with one other host of each zone; to be called regularly. */
-    public void sendDigests(int turn) {
+    /**
+     * Sends the digest of each zone to one other host of it; called periodically.
+     *
+     * @param round number of the call, by which the hosts are chosen in turn
+     */
+    public void sendDigests(int round) {
         peers.forEach(
                 (zone, hosts) -> {
                     if (!hosts.isEmpty()) {
                         List<HostId> list = List.copyOf(hosts);
-                        transport.send(list.get(turn % list.size()), digestFrame(zone));
+                        transport.send(list.get(round % list.size()), digestFrame(zone));
                     }
                 });
     }
 
-    /** Drops the upstreams that have been silent; to be called regularly. */
+    /** Removes the upstreams whose announcements have timed out; called periodically. */
     public void expire() {
         List<LostUpstream> lost = new ArrayList<>();
         synchronized (this) {
@@ -128,7 +133,7 @@
         }
     }
 
-    /** Returns the latest announcements of a zone. */
+    /** Returns the latest announcement of each upstream of a zone. */
     public synchronized Collection<Announcement> announcements(ZoneId zone) {
         UpstreamTable table = tables.get(zone);
         return table == null ? List.of() : table.all();
@@ -137,17 +142,17 @@
     private record LostUpstream(ZoneId zone, UpstreamId upstream) {}
 
     private boolean accept(Announcement announcement) {
-        Optional<Announcement> kept;
+        Optional<Announcement> accepted;
         synchronized (this) {
             UpstreamTable table = tables.get(announcement.zone());
             if (table == null) {
                 return false;
             }
-            kept = table.offer(announcement, BootClock.nanos());
+            accepted = table.offer(announcement, BootClock.nanos());
         }
-        kept.ifPresent(
+        accepted.ifPresent(
                 now -> listeners.forEach(listener -> listener.upstreamAnnounced(now.zone(), now)));
-        return kept.isPresent();
+        return accepted.isPresent();
     }
 
     private Frame digestFrame(ZoneId zone) {
--- a/stackhall-server/src/main/java/io/stackhall/server/node/package-info.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon: its parts, what drives them, and how they start and stop. */
+/** The host process with fixed membership: its components, their drivers and its lifecycle. */
 package io.stackhall.server.node;
