--- a/stackhall-server/src/main/java/io/stackhall/server/control/ControlDaemon.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/ControlDaemon.java
@@ -20,11 +20,11 @@
 import io.stackhall.rpc.generated.fleet.Introduction;
 import io.stackhall.rpc.generated.fleet.WorkReport;
 import io.stackhall.rpc.generated.peer.Frame;
-import io.stackhall.server.fleet.AnswerServer;
 import io.stackhall.server.fleet.ControlHosts;
 import io.stackhall.server.fleet.EvacuationCodec;
 import io.stackhall.server.fleet.FleetDaemon;
 import io.stackhall.server.fleet.RepeatedTask;
+import io.stackhall.server.fleet.SimpleHttpServer;
 import io.stackhall.server.fleet.WorkCodec;
 import io.stackhall.server.group.GroupListener;
 import io.stackhall.server.metrics.FleetMetrics;
@@ -130,7 +130,8 @@
         group.start();
         listener = listen();
         metricsListener =
-                settings.metrics().map(at -> AnswerServer.listen(threads, at, this::metricsAnswer));
+                settings.metrics()
+                        .map(at -> SimpleHttpServer.listen(threads, at, this::metricsAnswer));
         RepeatedTask.every(loop, SWEEP_MILLIS, this::sweep);
         RepeatedTask.every(loop, WORK_MILLIS, works::tellEntryHosts);
         RepeatedTask.every(loop, PASS_ON_MILLIS, works::passOn);
@@ -144,7 +145,7 @@
 
     @Override
     public void reload(FleetSettings next) {
-        hosts.reseed(next.seedPeers());
+        hosts.setSeeds(next.seedPeers());
     }
 
     @Override
@@ -161,7 +162,7 @@
         listener.close();
         metricsListener.ifPresent(Channel::close);
         transport.close();
-        threads.terminationFuture().awaitUninterruptibly(FleetDaemon.CLOSE_MILLIS);
+        threads.terminationFuture().awaitUninterruptibly(FleetDaemon.CLOSE_TIMEOUT_MILLIS);
         logger.info("daemon.stopped host={}", settings.host());
     }
 
@@ -210,7 +211,7 @@
      * what was heard before this host's own connection was up, the other has not been told.
      */
     private void introduced(Introduction introduction, Replier replier) {
-        hosts.introduced(introduction);
+        hosts.receiveIntroduction(introduction);
         if (!introduction.getAnswer()) {
             replier.send(hosts.introduction(true));
         }
@@ -262,7 +263,7 @@
         }
     }
 
-    private AnswerServer.Answer metricsAnswer(String path) {
+    private SimpleHttpServer.Response metricsAnswer(String path) {
         metrics.state("term", (double) group.view().term());
         metrics.state("leads", group.leads() ? 1 : 0);
         metrics.state("commit_index", (double) group.view().commitIndex());
@@ -271,11 +272,11 @@
         metrics.state("limited_upstreams", limits.limited().size());
         metrics.state("followers", fleet.followers().count());
         metrics.state("refused_records", (double) fleet.refusedRecords());
-        return new AnswerServer.Answer(HttpResponseStatus.OK.code(), metrics.scrape());
+        return new SimpleHttpServer.Response(HttpResponseStatus.OK.code(), metrics.scrape());
     }
 
     private void sweep() {
-        hosts.sweep();
+        hosts.checkConnections();
         fleet.sweep();
         crashes.sweep();
         limits.sweep();
--- a/stackhall-server/src/main/java/io/stackhall/server/control/ControlGroup.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/ControlGroup.java
@@ -83,7 +83,8 @@
                         random,
                         aliveSince);
         Map<String, GroupHost> local = new ConcurrentHashMap<>(Map.of(GROUP, replica));
-        this.client = new GroupClient(settings.peerName(), transport, local, group -> hosts.all());
+        this.client =
+                new GroupClient(settings.peerName(), transport, local, group -> hosts.knownHosts());
     }
 
     void start() {
@@ -165,7 +166,7 @@
         public void announce(String group, Hello hello) {
             Frame frame =
                     Frame.newBuilder().setHello(ReplicationCodec.encode(group, hello)).build();
-            hosts.all().forEach(host -> transport.send(host, frame));
+            hosts.knownHosts().forEach(host -> transport.send(host, frame));
         }
 
         @Override
--- a/stackhall-server/src/main/java/io/stackhall/server/control/EntryFollowers.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/EntryFollowers.java
@@ -8,9 +8,9 @@
 import io.stackhall.rpc.generated.fleet.FleetFollow;
 import io.stackhall.rpc.generated.peer.Frame;
 import io.stackhall.server.clock.BootClock;
+import io.stackhall.server.fleet.EmptyReportFilter;
+import io.stackhall.server.fleet.HostWorkReports;
 import io.stackhall.server.fleet.InstanceCodec;
-import io.stackhall.server.fleet.NothingOnce;
-import io.stackhall.server.fleet.WorkBoard;
 import io.stackhall.server.peer.Replier;
 import java.util.Collection;
 import java.util.HashMap;
@@ -49,7 +49,7 @@
         private Replier replier;
         private long heardAt;
         private boolean primary;
-        private final NothingOnce works = new NothingOnce();
+        private final EmptyReportFilter works = new EmptyReportFilter();
 
         private Follower(long connection) {
             this.connection = connection;
@@ -152,7 +152,7 @@
      * Tells each that has this host as its primary the work of the others, less often the more of
      * them there are.
      */
-    void tellWork(WorkBoard works) {
+    void tellWork(HostWorkReports works) {
         long now = BootClock.nanos();
         long primaries = followers.values().stream().filter(one -> one.primary).count();
         ReportTiming pace = new ReportTiming(Math.toIntExact(primaries));
@@ -160,16 +160,16 @@
             return;
         }
         workToldAt = now;
-        works.shared(followers.size());
+        works.setHostCount(followers.size());
         followers.forEach((host, follower) -> tellWork(works, new HostId(host), follower, now));
     }
 
     /** What nobody works on is told once. */
-    private void tellWork(WorkBoard works, HostId host, Follower follower, long now) {
+    private void tellWork(HostWorkReports works, HostId host, Follower follower, long now) {
         if (!follower.primary) {
             return;
         }
-        Frame others = works.withoutThatOf(host, self, now);
+        Frame others = works.frameExcluding(host, self, now);
         if (follower.works.isDue(others.getWork().getWorkCount() > 0)) {
             follower.replier.send(others);
         }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/FleetKeeper.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/FleetKeeper.java
@@ -198,7 +198,7 @@
                 followers.count());
         routes = next;
         decodeRoutes();
-        packedRoutes = RoutesCodec.pack(routes.getBody());
+        packedRoutes = RoutesCodec.compress(routes.getBody());
         followers.sendToPrimaries(frame(wholeRoutes()));
         followers.sendToOthers(frame(routesVersion()));
         return true;
@@ -294,7 +294,7 @@
 
     /** Sends a frame to the other control hosts. */
     void toControlHosts(Frame frame) {
-        hosts.all().forEach(host -> transport.send(host, frame));
+        hosts.knownHosts().forEach(host -> transport.send(host, frame));
     }
 
     private void toEntryHosts(List<Instance> begun, List<Instance> changed) {
--- a/stackhall-server/src/main/java/io/stackhall/server/control/LimitDesk.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/LimitDesk.java
@@ -84,17 +84,18 @@
 
     /** Takes in what whoever leads says, and passes on what is news. */
     void told(LimitWords words) {
-        List<LimitUpdate> news = LimitCodec.words(words).stream().filter(keeper::receive).toList();
+        List<LimitUpdate> news =
+                LimitCodec.updates(words).stream().filter(keeper::receive).toList();
         if (!news.isEmpty()) {
             log(news, "");
-            fleet.passOn(LimitCodec.words(news));
+            fleet.passOn(LimitCodec.updates(news));
         }
     }
 
     /** Takes in what an upstream has told an entry host. */
     void heard(LimitHeard heard) {
         if (leads()) {
-            tell(keeper.observe(LimitCodec.heard(heard), BootClock.nanos()), heard.getHost());
+            tell(keeper.observe(LimitCodec.observation(heard), BootClock.nanos()), heard.getHost());
         }
     }
 
@@ -118,11 +119,11 @@
         if (!leads()) {
             return;
         }
-        LimitUpdate known = LimitCodec.known(ask);
+        LimitUpdate known = LimitCodec.knownLimit(ask);
         if (keeper.receive(known)) {
             tell(List.of(known), ask.getHost());
         }
-        PermitRequest want = LimitCodec.want(ask);
+        PermitRequest want = LimitCodec.request(ask);
         asking.put(want.host(), replier);
         answer(keeper.request(want, BootClock.nanos()));
         keepGranting();
@@ -163,7 +164,7 @@
 
     /** Returns all that is known, for a host that may know nothing. */
     Frame whole() {
-        return LimitCodec.words(keeper.table().all());
+        return LimitCodec.updates(keeper.table().all());
     }
 
     /** Returns the upstreams that have a limit. */
@@ -187,7 +188,7 @@
     private void tell(List<LimitUpdate> words, String by) {
         if (!words.isEmpty()) {
             log(words, by);
-            fleet.tellOthers(LimitCodec.words(words));
+            fleet.tellOthers(LimitCodec.updates(words));
             keepGranting();
         }
     }
@@ -202,7 +203,7 @@
         for (PermitAnswer answer : answers) {
             Replier replier = asking.get(answer.host());
             if (replier != null) {
-                replier.send(LimitCodec.reply(answer, self));
+                replier.send(LimitCodec.answer(answer, self));
             }
         }
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/OperatorCalls.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/OperatorCalls.java
@@ -2,7 +2,7 @@
 
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpMethod;
-import io.stackhall.server.fleet.AnswerServer;
+import io.stackhall.server.fleet.SimpleHttpServer;
 import java.util.function.Consumer;
 
 /** An operator's calls about what this system has found out by itself. */
@@ -29,7 +29,11 @@
      * @param body of a POST, who asks
      * @param answer told the outcome, on any thread
      */
-    void call(HttpMethod method, String path, byte[] body, Consumer<AnswerServer.Answer> answer) {
+    void call(
+            HttpMethod method,
+            String path,
+            byte[] body,
+            Consumer<SimpleHttpServer.Response> answer) {
         if (path.equals(OperatorPaths.UPSTREAM_LIMITS)) {
             loop.execute(() -> answer.accept(SentenceCalls.ok(limits.listed())));
         } else {
--- a/stackhall-server/src/main/java/io/stackhall/server/control/SentenceCalls.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/SentenceCalls.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.stackhall.core.quarantine.RequestDigest;
-import io.stackhall.server.fleet.AnswerServer;
+import io.stackhall.server.fleet.SimpleHttpServer;
 import io.stackhall.server.group.CommandOutcome;
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
@@ -39,7 +39,11 @@
      * @param body of a POST, who asks
      * @param answer told the outcome, on any thread
      */
-    void call(HttpMethod method, String path, byte[] body, Consumer<AnswerServer.Answer> answer) {
+    void call(
+            HttpMethod method,
+            String path,
+            byte[] body,
+            Consumer<SimpleHttpServer.Response> answer) {
         if (path.equals(ALL)) {
             loop.execute(() -> answer.accept(ok(crashes.refused())));
             return;
@@ -60,18 +64,18 @@
         }
     }
 
-    private static AnswerServer.Answer answer(CommandOutcome outcome) {
+    private static SimpleHttpServer.Response answer(CommandOutcome outcome) {
         return outcome instanceof CommandOutcome.Done
                 ? ok("{}".getBytes(StandardCharsets.US_ASCII))
                 : answer(HttpResponseStatus.SERVICE_UNAVAILABLE);
     }
 
-    static AnswerServer.Answer ok(byte[] body) {
-        return new AnswerServer.Answer(HttpResponseStatus.OK.code(), body);
+    static SimpleHttpServer.Response ok(byte[] body) {
+        return new SimpleHttpServer.Response(HttpResponseStatus.OK.code(), body);
     }
 
-    private static AnswerServer.Answer answer(HttpResponseStatus status) {
-        return new AnswerServer.Answer(
+    private static SimpleHttpServer.Response answer(HttpResponseStatus status) {
+        return new SimpleHttpServer.Response(
                 status.code(),
                 ("{\"message\":\"" + status.reasonPhrase() + "\"}")
                         .getBytes(StandardCharsets.US_ASCII));
--- a/stackhall-server/src/main/java/io/stackhall/server/control/WorkRelay.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/WorkRelay.java
@@ -8,8 +8,8 @@
 import io.stackhall.rpc.generated.peer.DemandReport;
 import io.stackhall.rpc.generated.peer.Frame;
 import io.stackhall.server.clock.BootClock;
-import io.stackhall.server.fleet.NothingOnce;
-import io.stackhall.server.fleet.WorkBoard;
+import io.stackhall.server.fleet.EmptyReportFilter;
+import io.stackhall.server.fleet.HostWorkReports;
 import io.stackhall.server.fleet.WorkCodec;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -24,10 +24,10 @@
     private final HostId self;
     private final EntryFollowers followers;
     private final Consumer<Frame> toControlHosts;
-    private final WorkBoard works = new WorkBoard();
+    private final HostWorkReports works = new HostWorkReports();
     private final ReportAggregator sum = new ReportAggregator();
-    private final NothingOnce worksToTell = new NothingOnce();
-    private final NothingOnce demandsToTell = new NothingOnce();
+    private final EmptyReportFilter worksToTell = new EmptyReportFilter();
+    private final EmptyReportFilter demandsToTell = new EmptyReportFilter();
 
     /**
      * Creates a relay to which nobody has reported.
@@ -44,10 +44,10 @@
     void worked(WorkReport report) {
         long now = BootClock.nanos();
         HostId host = new HostId(report.getHost());
-        works.reported(report, now);
+        works.receive(report, now);
         if (followers.isPrimaryOf(host)) {
             sum.addWork(host, WorkCodec.decode(report), now);
-            sum.addUnreadTokens(host, WorkCodec.unread(report), now);
+            sum.addUnreadTokens(host, WorkCodec.unreadTokens(report), now);
         }
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/ControlHosts.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/ControlHosts.java
@@ -30,13 +30,13 @@
     private static final Logger logger = LogManager.getLogger(ControlHosts.class);
 
     /** A host that was replaced stays away; one that restarts or is cut off returns sooner. */
-    private static final long FORGET_NANOS = TimeUnit.SECONDS.toNanos(30);
+    private static final long REMOVAL_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     private final FleetSettings settings;
     private final PeerTransport transport;
     private final Consumer<HostId> onConnected;
-    private final Map<HostId, Long> lastUp = new LinkedHashMap<>();
-    private final Set<HostId> up = ConcurrentHashMap.newKeySet();
+    private final Map<HostId, Long> lastConnected = new LinkedHashMap<>();
+    private final Set<HostId> connectedHosts = ConcurrentHashMap.newKeySet();
     private final Map<HostId, ZoneId> zones = new ConcurrentHashMap<>();
     private Set<HostId> seeds;
 
@@ -60,21 +60,21 @@
 
     /** Connects to the seeds. */
     public synchronized void start() {
-        learn(settings.seedPeers());
+        addHosts(settings.seedPeers());
     }
 
     /** Takes over other seeds. */
-    public synchronized void reseed(Collection<HostId> next) {
+    public synchronized void setSeeds(Collection<HostId> next) {
         seeds = Set.copyOf(next);
-        learn(next);
+        addHosts(next);
     }
 
     /** Takes in hosts that another has named. */
-    public synchronized void learn(Collection<HostId> named) {
+    public synchronized void addHosts(Collection<HostId> named) {
         for (HostId host : named) {
-            boolean known = host.equals(settings.peerName()) || lastUp.containsKey(host);
+            boolean known = host.equals(settings.peerName()) || lastConnected.containsKey(host);
             if (!known) {
-                lastUp.put(host, BootClock.nanos());
+                lastConnected.put(host, BootClock.nanos());
                 logger.info("control-host.learned host={}", host);
                 transport.link(host, Address.parse(host.value()), () -> connected(host));
             }
@@ -82,14 +82,14 @@
     }
 
     /** Returns the known hosts, this one excepted. */
-    public synchronized List<HostId> all() {
-        return new ArrayList<>(lastUp.keySet());
+    public synchronized List<HostId> knownHosts() {
+        return new ArrayList<>(lastConnected.keySet());
     }
 
     /** Returns the hosts that are connected and have said in which zone they stand. */
     public Map<HostId, ZoneId> connected() {
         Map<HostId, ZoneId> connected = new HashMap<>();
-        for (HostId host : all()) {
+        for (HostId host : knownHosts()) {
             ZoneId zone = zones.get(host);
             if (zone != null && transport.connected(host)) {
                 connected.put(host, zone);
@@ -99,18 +99,18 @@
     }
 
     /** Notes which connections are down, and forgets hosts that have been away for long. */
-    public synchronized void sweep() {
+    public synchronized void checkConnections() {
         long now = BootClock.nanos();
-        for (HostId host : all()) {
+        for (HostId host : knownHosts()) {
             if (transport.connected(host)) {
-                lastUp.put(host, now);
+                lastConnected.put(host, now);
                 continue;
             }
-            if (up.remove(host)) {
+            if (connectedHosts.remove(host)) {
                 logger.info("control-host.lost host={}", host);
             }
-            if (!seeds.contains(host) && now - lastUp.get(host) > FORGET_NANOS) {
-                lastUp.remove(host);
+            if (!seeds.contains(host) && now - lastConnected.get(host) > REMOVAL_TIMEOUT_NANOS) {
+                lastConnected.remove(host);
                 zones.remove(host);
                 transport.unlink(host);
                 logger.info("control-host.forgotten host={}", host);
@@ -126,14 +126,14 @@
                         .setControl(settings.control().isPresent())
                         .setZone(settings.zone().value())
                         .setAnswer(answer);
-        lastUp.keySet().stream()
+        lastConnected.keySet().stream()
                 .filter(transport::connected)
                 .forEach(host -> introduction.addControlHosts(host.value()));
         return Frame.newBuilder().setIntroduction(introduction).build();
     }
 
     /** Takes in another process's introduction. */
-    public void introduced(Introduction introduction) {
+    public void receiveIntroduction(Introduction introduction) {
         List<HostId> named = new ArrayList<>();
         introduction.getControlHostsList().forEach(host -> named.add(new HostId(host)));
         if (introduction.getControl()) {
@@ -143,11 +143,11 @@
                 zones.put(host, new ZoneId(introduction.getZone()));
             }
         }
-        learn(named);
+        addHosts(named);
     }
 
     private void connected(HostId host) {
-        up.add(host);
+        connectedHosts.add(host);
         logger.info("control-host.connected host={}", host);
         transport.send(host, introduction(false));
         onConnected.accept(host);
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/NothingOnce.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/EmptyReportFilter.java
@@ -1,9 +1,9 @@
 package io.stackhall.server.fleet;
 
 /** Decides whether a report is due: something always is, nothing only after something. */
-public final class NothingOnce {
+public final class EmptyReportFilter {
 
-    private boolean toldOfSome;
+    private boolean lastNonEmpty;
 
     /**
      * Returns whether to tell, and takes it as told.
@@ -11,8 +11,8 @@
      * @param some whether there is something to tell
      */
     public boolean isDue(boolean some) {
-        boolean due = some || toldOfSome;
-        toldOfSome = some;
+        boolean due = some || lastNonEmpty;
+        lastNonEmpty = some;
         return due;
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/FleetDaemon.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/FleetDaemon.java
@@ -18,7 +18,7 @@
             new PeerTiming(Duration.ofMillis(300), Duration.ofMillis(900), Duration.ofMillis(250));
 
     /** Its threads end within milliseconds once its connections are closed. */
-    long CLOSE_MILLIS = 1500;
+    long CLOSE_TIMEOUT_MILLIS = 1500;
 
     /** Starts to work. */
     void start();
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/WorkBoard.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/HostWorkReports.java
@@ -13,22 +13,22 @@
  *
  * <p>Not thread-safe: one thread uses it.
  */
-public final class WorkBoard {
+public final class HostWorkReports {
 
     private final WorkReports requests = new WorkReports();
-    private final WorkReports unread = new WorkReports();
+    private final WorkReports unreadTokens = new WorkReports();
 
     /** Takes in how many entry hosts there are, by which reports come more or less often. */
-    public void shared(int hosts) {
+    public void setHostCount(int hosts) {
         requests.setHostCount(hosts);
-        unread.setHostCount(hosts);
+        unreadTokens.setHostCount(hosts);
     }
 
     /** Takes in what a host says. */
-    public void reported(WorkReport report, long now) {
+    public void receive(WorkReport report, long now) {
         HostId host = new HostId(report.getHost());
         requests.put(host, WorkCodec.requests(WorkCodec.decode(report)), now);
-        unread.put(host, WorkCodec.unread(report), now);
+        unreadTokens.put(host, WorkCodec.unreadTokens(report), now);
     }
 
     /**
@@ -36,18 +36,18 @@
      *
      * @param self who tells it
      */
-    public Frame withoutThatOf(HostId host, HostId self, long now) {
+    public Frame frameExcluding(HostId host, HostId self, long now) {
         return WorkCodec.encodeOthers(
-                self, requests.sumExcluding(host, now), unread.sumExcluding(host, now));
+                self, requests.sumExcluding(host, now), unreadTokens.sumExcluding(host, now));
     }
 
     /** Returns the most requests that any host has said of each instance. */
-    public Map<UpstreamId, Integer> mostRequests(long now) {
+    public Map<UpstreamId, Integer> maxRequests(long now) {
         return requests.max(now);
     }
 
     /** Returns the most tokens to be read that any host has said of each instance. */
-    public Map<UpstreamId, Integer> mostUnread(long now) {
-        return unread.max(now);
+    public Map<UpstreamId, Integer> maxUnreadTokens(long now) {
+        return unreadTokens.max(now);
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/InstanceCodec.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/InstanceCodec.java
@@ -92,12 +92,12 @@
                 record.getSequence(),
                 Duration.ofMillis(record.getColdMillis()),
                 models,
-                names(record.getCopiesInMemoryList()),
-                names(record.getCopiesOnDiskList()),
+                modelIds(record.getCopiesInMemoryList()),
+                modelIds(record.getCopiesOnDiskList()),
                 record.getOrdersTaken());
     }
 
-    private static Set<ModelId> names(List<String> texts) {
+    private static Set<ModelId> modelIds(List<String> texts) {
         Set<ModelId> names = new HashSet<>();
         texts.forEach(text -> names.add(new ModelId(text)));
         return names;
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/LimitCodec.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/LimitCodec.java
@@ -24,14 +24,14 @@
     private LimitCodec() {}
 
     /** Returns the frame that tells words on limits. */
-    public static Frame words(Collection<LimitUpdate> words) {
+    public static Frame updates(Collection<LimitUpdate> words) {
         LimitWords.Builder all = LimitWords.newBuilder();
         words.forEach(word -> all.addWords(encode(word)));
         return Frame.newBuilder().setLimitWords(all).build();
     }
 
     /** Decodes words on limits. */
-    public static List<LimitUpdate> words(LimitWords message) {
+    public static List<LimitUpdate> updates(LimitWords message) {
         return message.getWordsList().stream().map(LimitCodec::decode).toList();
     }
 
@@ -49,13 +49,13 @@
     private static LimitUpdate decode(io.stackhall.rpc.generated.fleet.LimitWord message) {
         return new LimitUpdate(
                 UpstreamId.parse(message.getUpstream()),
-                figure(message.hasPerSecond(), message.getPerSecond()),
+                optional(message.hasPerSecond(), message.getPerSecond()),
                 message.getEnding(),
                 new LimitRevision(message.getTerm(), message.getCount()));
     }
 
     /** Returns the frame by which a host tells what an upstream has said. */
-    public static Frame heard(HostId host, LimitObservation heard) {
+    public static Frame observation(HostId host, LimitObservation heard) {
         LimitHeard.Builder message =
                 LimitHeard.newBuilder()
                         .setHost(host.value())
@@ -67,10 +67,10 @@
     }
 
     /** Decodes what an upstream has said to a host. */
-    public static LimitObservation heard(LimitHeard message) {
+    public static LimitObservation observation(LimitHeard message) {
         return new LimitObservation(
                 UpstreamId.parse(message.getUpstream()),
-                figure(message.hasPerSecond(), message.getPerSecond()),
+                optional(message.hasPerSecond(), message.getPerSecond()),
                 new LimitRevision(message.getTerm(), message.getCount()));
     }
 
@@ -79,7 +79,7 @@
      *
      * @param known what it knows of the limit
      */
-    public static Frame ask(PermitRequest want, LimitUpdate known) {
+    public static Frame request(PermitRequest want, LimitUpdate known) {
         return Frame.newBuilder()
                 .setPermitAsk(
                         PermitAsk.newBuilder()
@@ -94,10 +94,10 @@
     }
 
     /** Decodes what a host asks for. */
-    public static PermitRequest want(PermitAsk message) {
+    public static PermitRequest request(PermitAsk message) {
         return new PermitRequest(
                 new HostId(message.getHost()),
-                known(message).upstream(),
+                knownLimit(message).upstream(),
                 message.getAlone(),
                 message.getSpare(),
                 message.getAskedAt(),
@@ -106,12 +106,12 @@
     }
 
     /** Decodes what a host that asks knows of the limit. */
-    public static LimitUpdate known(PermitAsk message) {
+    public static LimitUpdate knownLimit(PermitAsk message) {
         return decode(message.getKnown());
     }
 
     /** Returns the frame that answers a host. */
-    public static Frame reply(PermitAnswer answer, HostId leader) {
+    public static Frame answer(PermitAnswer answer, HostId leader) {
         PermitReply.Builder reply =
                 PermitReply.newBuilder()
                         .setLeader(leader.value())
@@ -139,7 +139,7 @@
                 waits);
     }
 
-    private static OptionalDouble figure(boolean told, double figure) {
+    private static OptionalDouble optional(boolean told, double figure) {
         return told ? OptionalDouble.of(figure) : OptionalDouble.empty();
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/RoutesCodec.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/RoutesCodec.java
@@ -16,12 +16,12 @@
 public final class RoutesCodec {
 
     /** More than any call with a configuration may have; more than this is no configuration. */
-    private static final int MOST_BYTES = 64 << 20;
+    private static final int MAX_UNPACKED_BYTES = 64 << 20;
 
     private RoutesCodec() {}
 
     /** Returns a configuration packed. */
-    public static ByteString pack(ByteString body) {
+    public static ByteString compress(ByteString body) {
         ByteArrayOutputStream packed = new ByteArrayOutputStream();
         try (DeflaterOutputStream out = new DeflaterOutputStream(packed)) {
             body.writeTo(out);
@@ -39,15 +39,15 @@
     public static byte[] body(RoutesUpdate update) throws IOException {
         return update.getPackedBody().isEmpty()
                 ? update.getBody().toByteArray()
-                : unpack(update.getPackedBody());
+                : decompress(update.getPackedBody());
     }
 
-    private static byte[] unpack(ByteString packed) throws IOException {
+    private static byte[] decompress(ByteString packed) throws IOException {
         try (InflaterInputStream in =
                 new InflaterInputStream(new ByteArrayInputStream(packed.toByteArray()))) {
-            byte[] body = in.readNBytes(MOST_BYTES);
+            byte[] body = in.readNBytes(MAX_UNPACKED_BYTES);
             if (in.read() >= 0) {
-                throw new IOException("more than " + MOST_BYTES + " bytes");
+                throw new IOException("more than " + MAX_UNPACKED_BYTES + " bytes");
             }
             return body;
         }
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/AnswerServer.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/SimpleHttpServer.java
@@ -23,14 +23,14 @@
 import java.util.function.Function;
 
 /** Answers short calls that concern the process itself: whether it is ready, and its metrics. */
-public final class AnswerServer {
+public final class SimpleHttpServer {
 
-    private static final int MAX_BYTES = 4096;
+    private static final int MAX_REQUEST_BYTES = 4096;
 
-    private AnswerServer() {}
+    private SimpleHttpServer() {}
 
     /** An answer: its status and body. */
-    public record Answer(int status, byte[] body) {}
+    public record Response(int status, byte[] body) {}
 
     /**
      * Starts to answer.
@@ -39,7 +39,7 @@
      * @throws io.netty.channel.ChannelException if the address cannot be bound
      */
     public static Channel listen(
-            EventLoopGroup threads, Address address, Function<String, Answer> answers) {
+            EventLoopGroup threads, Address address, Function<String, Response> answers) {
         return new ServerBootstrap()
                 .group(threads)
                 .channel(NioServerSocketChannel.class)
@@ -50,7 +50,7 @@
                                 channel.pipeline()
                                         .addLast(
                                                 new HttpServerCodec(),
-                                                new HttpObjectAggregator(MAX_BYTES),
+                                                new HttpObjectAggregator(MAX_REQUEST_BYTES),
                                                 new Handler(answers));
                             }
                         })
@@ -61,15 +61,15 @@
 
     /** Answers the calls of one connection. */
     private static final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final Function<String, Answer> answers;
+        private final Function<String, Response> answers;
 
-        Handler(Function<String, Answer> answers) {
+        Handler(Function<String, Response> answers) {
             this.answers = answers;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            Answer answer = answers.apply(request.uri());
+            Response answer = answers.apply(request.uri());
             FullHttpResponse response =
                     new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1,
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/WorkCodec.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/WorkCodec.java
@@ -72,7 +72,7 @@
     }
 
     /** Returns the tokens of prompts that are not read yet, by instance. */
-    public static Map<UpstreamId, Integer> unread(WorkReport report) {
+    public static Map<UpstreamId, Integer> unreadTokens(WorkReport report) {
         Map<UpstreamId, Integer> unread = new HashMap<>();
         report.getWorkList()
                 .forEach(
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlFollower.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlFollower.java
@@ -19,8 +19,8 @@
 import io.stackhall.server.clock.BootClock;
 import io.stackhall.server.fleet.ControlHosts;
 import io.stackhall.server.fleet.EvacuationCodec;
+import io.stackhall.server.fleet.HostWorkReports;
 import io.stackhall.server.fleet.InstanceCodec;
-import io.stackhall.server.fleet.WorkBoard;
 import io.stackhall.server.peer.PeerTransport;
 import io.stackhall.server.peer.Replier;
 import io.stackhall.server.settings.FleetSettings;
@@ -56,7 +56,7 @@
     private final InstanceTable table = new InstanceTable(NEVER);
     private final Map<HostId, Long> connections = new HashMap<>();
     private boolean knowsInstances;
-    private final WorkBoard works = new WorkBoard();
+    private final HostWorkReports works = new HostWorkReports();
     private final PrimarySelector primaries;
     private Optional<HostId> primary = Optional.empty();
     private final RoutesFollower routes;
@@ -119,7 +119,7 @@
     }
 
     private List<HostId> connected() {
-        return hosts.all().stream().filter(transport::connected).toList();
+        return hosts.knownHosts().stream().filter(transport::connected).toList();
     }
 
     /** Sends a report to the primary, which passes it on. */
@@ -155,7 +155,7 @@
 
     /** Sends a frame to every control host. */
     void tellAll(Frame frame) {
-        hosts.all().forEach(host -> transport.send(host, frame));
+        hosts.knownHosts().forEach(host -> transport.send(host, frame));
     }
 
     /** Takes a frame from a control host, on any thread. */
@@ -166,7 +166,7 @@
     private void receivedOnLoop(Frame frame, Replier replier) {
         switch (frame.getBodyCase()) {
             case INTRODUCTION -> {
-                hosts.introduced(frame.getIntroduction());
+                hosts.receiveIntroduction(frame.getIntroduction());
                 choosePrimary();
                 if (!frame.getIntroduction().getAnswer()) {
                     replier.send(hosts.introduction(true));
@@ -225,10 +225,10 @@
 
     private void work(WorkReport report) {
         long now = BootClock.nanos();
-        works.shared(gateway.entryHosts());
-        works.reported(report, now);
-        gateway.dispatcher().updateRemoteRequests(works.mostRequests(now), now);
-        gateway.dispatcher().updateRemoteUnreadTokens(works.mostUnread(now), now);
+        works.setHostCount(gateway.entryHosts());
+        works.receive(report, now);
+        gateway.dispatcher().updateRemoteRequests(works.maxRequests(now), now);
+        gateway.dispatcher().updateRemoteUnreadTokens(works.maxUnreadTokens(now), now);
     }
 
     private void evacuated(EvacuatedZones told) {
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
@@ -26,10 +26,10 @@
 import io.stackhall.platform.Headers;
 import io.stackhall.rpc.generated.peer.Frame;
 import io.stackhall.server.clock.BootClock;
-import io.stackhall.server.fleet.AnswerServer;
 import io.stackhall.server.fleet.ControlHosts;
 import io.stackhall.server.fleet.FleetDaemon;
 import io.stackhall.server.fleet.RepeatedTask;
+import io.stackhall.server.fleet.SimpleHttpServer;
 import io.stackhall.server.metrics.FleetMetrics;
 import io.stackhall.server.peer.PeerTransport;
 import io.stackhall.server.relay.UpstreamClient;
@@ -133,9 +133,10 @@
         transport.open(follower::received);
         hosts.start();
         callers = listen(entry.callers(), new CallerChannels());
-        readiness = AnswerServer.listen(threads, entry.readiness(), this::readinessAnswer);
+        readiness = SimpleHttpServer.listen(threads, entry.readiness(), this::readinessAnswer);
         metrics =
-                settings.metrics().map(at -> AnswerServer.listen(threads, at, this::metricsAnswer));
+                settings.metrics()
+                        .map(at -> SimpleHttpServer.listen(threads, at, this::metricsAnswer));
         RepeatedTask.every(loop, FOLLOW_MILLIS, this::follow);
         RepeatedTask.every(loop, DEMAND_MILLIS, reports::tellDemand);
         RepeatedTask.every(loop, WORK_MILLIS, reports::tellWork);
@@ -158,7 +159,7 @@
 
     @Override
     public void reload(FleetSettings next) {
-        hosts.reseed(next.seedPeers());
+        hosts.setSeeds(next.seedPeers());
     }
 
     @Override
@@ -185,7 +186,7 @@
         readiness.close();
         metrics.ifPresent(Channel::close);
         transport.close();
-        threads.terminationFuture().awaitUninterruptibly(FleetDaemon.CLOSE_MILLIS);
+        threads.terminationFuture().awaitUninterruptibly(FleetDaemon.CLOSE_TIMEOUT_MILLIS);
         logger.info("daemon.stopped host={}", settings.host());
     }
 
@@ -218,7 +219,7 @@
     }
 
     private void follow() {
-        hosts.sweep();
+        hosts.checkConnections();
         upstreams.sweep();
         gateway.notices().sweep();
         gateway.quarantine().sweep();
@@ -258,7 +259,7 @@
 
         @Override
         public List<HostId> connected() {
-            return hosts.all().stream().filter(transport::connected).toList();
+            return hosts.knownHosts().stream().filter(transport::connected).toList();
         }
     }
 
@@ -284,17 +285,17 @@
         }
     }
 
-    private AnswerServer.Answer readinessAnswer(String path) {
+    private SimpleHttpServer.Response readinessAnswer(String path) {
         boolean ready =
                 path.equals(Calls.READINESS)
                         && follower.ready()
                         && gateway.customers().ready()
                         && !gateway.draining();
-        return new AnswerServer.Answer(ready ? READY : NOT_READY, new byte[0]);
+        return new SimpleHttpServer.Response(ready ? READY : NOT_READY, new byte[0]);
     }
 
-    private AnswerServer.Answer metricsAnswer(String path) {
+    private SimpleHttpServer.Response metricsAnswer(String path) {
         gateway.measure();
-        return new AnswerServer.Answer(READY, gateway.metrics().scrape());
+        return new SimpleHttpServer.Response(READY, gateway.metrics().scrape());
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/OwnReports.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/OwnReports.java
@@ -6,7 +6,7 @@
 import io.stackhall.rpc.generated.peer.DemandReport;
 import io.stackhall.rpc.generated.peer.Frame;
 import io.stackhall.server.clock.BootClock;
-import io.stackhall.server.fleet.NothingOnce;
+import io.stackhall.server.fleet.EmptyReportFilter;
 import io.stackhall.server.fleet.WorkCodec;
 import io.stackhall.server.settings.FleetSettings;
 import java.util.Map;
@@ -18,8 +18,8 @@
     private final Gateway gateway;
     private final ControlFollower follower;
     private long workToldAt = BootClock.nanos();
-    private final NothingOnce works = new NothingOnce();
-    private final NothingOnce demands = new NothingOnce();
+    private final EmptyReportFilter works = new EmptyReportFilter();
+    private final EmptyReportFilter demands = new EmptyReportFilter();
 
     OwnReports(FleetSettings settings, Gateway gateway, ControlFollower follower) {
         this.settings = settings;
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamLimits.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamLimits.java
@@ -107,7 +107,7 @@
     /** Takes in what the leader says of limits, and returns whether it changes anything. */
     boolean told(LimitWords words) {
         boolean changed = false;
-        for (LimitUpdate word : LimitCodec.words(words)) {
+        for (LimitUpdate word : LimitCodec.updates(words)) {
             if (limits.receive(word)) {
                 changed = true;
                 logger.info("upstream.limit-in-force {}", word.fields());
@@ -161,7 +161,7 @@
     private void look() {
         long now = BootClock.nanos();
         for (PermitRequest want : limits.dueRequests(now)) {
-            ask(LimitCodec.ask(want, limits.latestUpdate(want.upstream())), now);
+            ask(LimitCodec.request(want, limits.latestUpdate(want.upstream())), now);
         }
         limits.dueObservations(now).forEach(this::tellAll);
     }
@@ -175,7 +175,7 @@
     }
 
     private void tellAll(LimitObservation heard) {
-        way.sendToAll(LimitCodec.heard(self, heard));
+        way.sendToAll(LimitCodec.observation(self, heard));
     }
 
     /** Forgets an instance that is gone. */
--- a/stackhall-server/src/test/java/io/stackhall/server/fleet/LimitCodecTest.java
+++ b/stackhall-server/src/test/java/io/stackhall/server/fleet/LimitCodecTest.java
@@ -27,16 +27,16 @@
     void wordsAreReadAsTheyWereWritten() {
         LimitUpdate limit = new LimitUpdate(UPSTREAM, OptionalDouble.of(0.5), true, REVISION);
         LimitUpdate none = new LimitUpdate(UPSTREAM, OptionalDouble.empty(), false, REVISION);
-        Frame frame = LimitCodec.words(List.of(limit, none));
-        assertThat(LimitCodec.words(frame.getLimitWords())).containsExactly(limit, none);
+        Frame frame = LimitCodec.updates(List.of(limit, none));
+        assertThat(LimitCodec.updates(frame.getLimitWords())).containsExactly(limit, none);
     }
 
     @Test
     void whatUpstreamsSayIsReadAsItWasWritten() {
         for (OptionalDouble named : List.of(OptionalDouble.of(0), OptionalDouble.empty())) {
             LimitObservation heard = new LimitObservation(UPSTREAM, named, REVISION);
-            Frame frame = LimitCodec.heard(HOST, heard);
-            assertThat(LimitCodec.heard(frame.getLimitHeard())).isEqualTo(heard);
+            Frame frame = LimitCodec.observation(HOST, heard);
+            assertThat(LimitCodec.observation(frame.getLimitHeard())).isEqualTo(heard);
         }
     }
 
@@ -44,16 +44,16 @@
     void wantsAndAnswersAreReadAsTheyWereWritten() {
         LimitUpdate known = new LimitUpdate(UPSTREAM, OptionalDouble.of(2), false, REVISION);
         PermitRequest want = new PermitRequest(HOST, UPSTREAM, 3, true, 123_456_789L, -1, true);
-        Frame ask = LimitCodec.ask(want, known);
-        assertThat(LimitCodec.want(ask.getPermitAsk())).isEqualTo(want);
-        assertThat(LimitCodec.known(ask.getPermitAsk())).isEqualTo(known);
+        Frame ask = LimitCodec.request(want, known);
+        assertThat(LimitCodec.request(ask.getPermitAsk())).isEqualTo(want);
+        assertThat(LimitCodec.knownLimit(ask.getPermitAsk())).isEqualTo(known);
         PermitWaits waits =
                 new PermitWaits(
                         List.of(Duration.ofMillis(5), Duration.ofMillis(1005)),
                         Duration.ofMillis(2005),
                         Duration.ofSeconds(1));
         PermitAnswer answer = new PermitAnswer(HOST, UPSTREAM, 123_456_789L, true, waits);
-        Frame reply = LimitCodec.reply(answer, HOST);
+        Frame reply = LimitCodec.answer(answer, HOST);
         assertThat(LimitCodec.answer(HOST, reply.getPermitReply())).isEqualTo(answer);
     }
 }
