--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/ControlHosts.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/ControlHosts.java
@@ -22,14 +22,17 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The control hosts that this process knows: the seeds, and whom they and others name. A connection
- * is kept to each; one that has not answered for long is forgotten unless it is a seed.
+ * The control hosts that this process knows: the seeds, and the control hosts that other hosts name
+ * in their introductions. A connection is maintained to each of them. A host that stays unreachable
+ * for 30 seconds is removed unless it is a seed.
  */
 public final class ControlHosts {
 
     private static final Logger logger = LogManager.getLogger(ControlHosts.class);
 
-    /** A host that was replaced stays away; one that restarts or is cut off returns sooner. */
+    /**
+     * Exceeds the absence of a host that restarts or is cut off; a replaced host does not return.
+     */
     private static final long REMOVAL_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     private final FleetSettings settings;
@@ -41,9 +44,9 @@
     private Set<HostId> seeds;
 
     /**
-     * Creates the list; nothing is connected yet.
+     * Creates the list without connecting.
      *
-     * @param onConnected told on a network thread of each connection that has come up
+     * @param onConnected called on a network thread whenever a connection to a host is established
      */
     public ControlHosts(
             FleetSettings settings, PeerTransport transport, Consumer<HostId> onConnected) {
@@ -63,15 +66,15 @@
         addHosts(settings.seedPeers());
     }
 
-    /** Takes over other seeds. */
-    public synchronized void setSeeds(Collection<HostId> next) {
-        seeds = Set.copyOf(next);
-        addHosts(next);
+    /** Replaces the seeds and connects to the new ones. */
+    public synchronized void setSeeds(Collection<HostId> newSeeds) {
+        seeds = Set.copyOf(newSeeds);
+        addHosts(newSeeds);
     }
 
-    /** Takes in hosts that another has named. */
-    public synchronized void addHosts(Collection<HostId> named) {
-        for (HostId host : named) {
+    /** Adds and connects to the hosts that are not known yet. */
+    public synchronized void addHosts(Collection<HostId> hosts) {
+        for (HostId host : hosts) {
             boolean known = host.equals(settings.peerName()) || lastConnected.containsKey(host);
             if (!known) {
                 lastConnected.put(host, BootClock.nanos());
@@ -81,12 +84,12 @@
         }
     }
 
-    /** Returns the known hosts, this one excepted. */
+    /** Returns the known control hosts except this one. */
     public synchronized List<HostId> knownHosts() {
         return new ArrayList<>(lastConnected.keySet());
     }
 
-    /** Returns the hosts that are connected and have said in which zone they stand. */
+    /** Returns the zones of the connected hosts that have announced their zone. */
     public Map<HostId, ZoneId> connected() {
         Map<HostId, ZoneId> connected = new HashMap<>();
         for (HostId host : knownHosts()) {
@@ -98,7 +101,7 @@
         return connected;
     }
 
-    /** Notes which connections are down, and forgets hosts that have been away for long. */
+    /** Logs lost connections and removes the hosts that timed out; called periodically. */
     public synchronized void checkConnections() {
         long now = BootClock.nanos();
         for (HostId host : knownHosts()) {
@@ -118,7 +121,11 @@
         }
     }
 
-    /** Returns the frame in which this process says who it is and whom it knows. */
+    /**
+     * Returns a frame with the address and zone of this process and its connected control hosts.
+     *
+     * @param answer whether it answers an introduction of the other host
+     */
     public synchronized Frame introduction(boolean answer) {
         Introduction.Builder introduction =
                 Introduction.newBuilder()
@@ -132,7 +139,7 @@
         return Frame.newBuilder().setIntroduction(introduction).build();
     }
 
-    /** Takes in another process's introduction. */
+    /** Handles another process's introduction and adds the control hosts that it names. */
     public void receiveIntroduction(Introduction introduction) {
         List<HostId> named = new ArrayList<>();
         introduction.getControlHostsList().forEach(host -> named.add(new HostId(host)));
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/CrashCodec.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/CrashCodec.java
@@ -16,22 +16,22 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Encodes what hosts tell each other of requests that end instances. */
+/** Encodes the notices between hosts about requests that crash instances. */
 public final class CrashCodec {
 
     private CrashCodec() {}
 
-    /** Returns a notice that says nothing yet. */
+    /** Returns an empty notice. */
     public static CrashNotice.Builder notice() {
         return CrashNotice.newBuilder();
     }
 
-    /** Returns a notice in a frame. */
+    /** Returns a frame with a notice. */
     public static Frame frame(CrashNotice.Builder notice) {
         return Frame.newBuilder().setCrashNotice(notice).build();
     }
 
-    /** Encodes the end of a life. */
+    /** Encodes the crash of an incarnation. */
     public static CrashRecord encode(Crash crash) {
         return CrashRecord.newBuilder()
                 .setLife(crash.incarnation().toString())
@@ -39,14 +39,14 @@
                 .build();
     }
 
-    /** Decodes the end of a life. */
+    /** Decodes the crash of an incarnation. */
     public static Crash decode(CrashRecord record) {
         return new Crash(
                 UpstreamId.parse(record.getLife()),
                 new LinkedHashSet<>(decode(record.getRequestsList())));
     }
 
-    /** Encodes what is taken back. */
+    /** Encodes an acquittal. */
     public static AcquittalRecord encode(Acquittal acquittal) {
         return AcquittalRecord.newBuilder()
                 .setRequest(encode(acquittal.request()))
@@ -54,19 +54,19 @@
                 .build();
     }
 
-    /** Decodes what is taken back. */
+    /** Decodes an acquittal. */
     public static Acquittal decode(AcquittalRecord record) {
-        Set<UpstreamId> lives =
+        Set<UpstreamId> incarnations =
                 record.getLivesList().stream().map(UpstreamId::parse).collect(Collectors.toSet());
-        return new Acquittal(decode(record.getRequest()), lives);
+        return new Acquittal(decode(record.getRequest()), incarnations);
     }
 
-    /** Encodes digests. */
+    /** Encodes request digests as raw bytes. */
     public static List<ByteString> encode(Collection<RequestDigest> requests) {
         return requests.stream().map(CrashCodec::encode).toList();
     }
 
-    /** Decodes digests. */
+    /** Decodes request digests. */
     public static List<RequestDigest> decode(List<ByteString> requests) {
         return requests.stream().map(CrashCodec::decode).toList();
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/EmptyReportFilter.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/EmptyReportFilter.java
@@ -1,18 +1,21 @@
 package io.stackhall.server.fleet;
 
-/** Decides whether a report is due: something always is, nothing only after something. */
+/**
+ * Decides whether a periodic report is sent: one with content always, an empty one only if the
+ * previous report had content.
+ */
 public final class EmptyReportFilter {
 
     private boolean lastNonEmpty;
 
     /**
-     * Returns whether to tell, and takes it as told.
+     * Returns whether the next report is to be sent, and assumes that it is.
      *
-     * @param some whether there is something to tell
+     * @param nonEmpty whether the report has content
      */
-    public boolean isDue(boolean some) {
-        boolean due = some || lastNonEmpty;
-        lastNonEmpty = some;
+    public boolean isDue(boolean nonEmpty) {
+        boolean due = nonEmpty || lastNonEmpty;
+        lastNonEmpty = nonEmpty;
         return due;
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/EvacuationCodec.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/EvacuationCodec.java
@@ -5,17 +5,17 @@
 import io.stackhall.rpc.generated.peer.Frame;
 import java.util.stream.Collectors;
 
-/** Which zones are evacuated, on the wire and in the control group's state. */
+/** Encodes the evacuated zones for other hosts and for the state of the control group. */
 public final class EvacuationCodec {
 
     private EvacuationCodec() {}
 
-    /** Returns the frame that tells which zones are evacuated. */
+    /** Returns a frame with the evacuated zones. */
     public static Frame frame(EvacuatedZones zones) {
         return Frame.newBuilder().setEvacuated(encode(zones)).build();
     }
 
-    /** Encodes which zones are evacuated. */
+    /** Encodes the evacuated zones. */
     public static io.stackhall.rpc.generated.fleet.EvacuatedZones encode(EvacuatedZones zones) {
         return io.stackhall.rpc.generated.fleet.EvacuatedZones.newBuilder()
                 .setRevision(zones.revision())
@@ -23,7 +23,7 @@
                 .build();
     }
 
-    /** Decodes which zones are evacuated. */
+    /** Decodes the evacuated zones. */
     public static EvacuatedZones decode(io.stackhall.rpc.generated.fleet.EvacuatedZones message) {
         return new EvacuatedZones(
                 message.getRevision(),
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/FleetDaemon.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/FleetDaemon.java
@@ -5,28 +5,31 @@
 import java.io.IOException;
 import java.time.Duration;
 
-/** A process of a system whose hosts find each other through seeds. */
+/** An entry or control process; hosts discover each other through seeds. */
 public interface FleetDaemon extends AutoCloseable {
 
     /**
-     * A connection that has fallen silent is replaced within this, so that a change still gets
-     * through in two seconds. An attempt to connect that went to a host without power is made anew
-     * after 250 ms, sixty times the way there and back: with 1,000 ms, hosts that came up at the
-     * same moment found each other 1.0 to 1.2 s later (one day, from the logs).
+     * A silent connection is pinged after 300 ms and replaced after 900 ms, so that a change still
+     * arrives within two seconds. A connection attempt, for example to a host without power, is
+     * repeated after 250 ms, which is sixty round trips: with 1,000 ms, hosts that started at the
+     * same moment connected 1.0 to 1.2 s later (from the logs of one day).
      */
     PeerTiming PEER_TIMING =
             new PeerTiming(Duration.ofMillis(300), Duration.ofMillis(900), Duration.ofMillis(250));
 
-    /** Its threads end within milliseconds once its connections are closed. */
+    /**
+     * Maximum wait for the threads of a closed process, in milliseconds; they end within
+     * milliseconds once its connections are closed.
+     */
     long CLOSE_TIMEOUT_MILLIS = 1500;
 
-    /** Starts to work. */
+    /** Starts the process. */
     void start();
 
-    /** Takes over settings that may change while the process runs. */
+    /** Applies the settings that may change while the process runs. */
     void reload(FleetSettings settings);
 
-    /** Leaves without cutting a request; returns when it may end. */
+    /** Stops without interrupting requests, and blocks until the process may be closed. */
     void drain();
 
     @Override
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/HostWorkReports.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/HostWorkReports.java
@@ -8,23 +8,27 @@
 import java.util.Map;
 
 /**
- * What several hosts have said lately of their work at instances: the requests that are there, and
- * the tokens of prompts that are to be read.
+ * The recent reports of several hosts about their work at instances: requests in progress, and
+ * unread prompt tokens.
  *
- * <p>Not thread-safe: one thread uses it.
+ * <p>Not thread-safe: used by one thread.
  */
 public final class HostWorkReports {
 
     private final WorkReports requests = new WorkReports();
     private final WorkReports unreadTokens = new WorkReports();
 
-    /** Takes in how many entry hosts there are, by which reports come more or less often. */
+    /** Sets the number of entry hosts, which determines how often they report. */
     public void setHostCount(int hosts) {
         requests.setHostCount(hosts);
         unreadTokens.setHostCount(hosts);
     }
 
-    /** Takes in what a host says. */
+    /**
+     * Replaces the report of a host.
+     *
+     * @param now the monotonic clock, in nanoseconds
+     */
     public void receive(WorkReport report, long now) {
         HostId host = new HostId(report.getHost());
         requests.put(host, WorkCodec.requests(WorkCodec.decode(report)), now);
@@ -32,21 +36,23 @@
     }
 
     /**
-     * Returns the frame in which a host is told the work of all others.
+     * Returns a frame with the total work of all hosts except the recipient.
      *
-     * @param self who tells it
+     * @param host the recipient
+     * @param self the sender
+     * @param now the monotonic clock, in nanoseconds
      */
     public Frame frameExcluding(HostId host, HostId self, long now) {
         return WorkCodec.encodeOthers(
                 self, requests.sumExcluding(host, now), unreadTokens.sumExcluding(host, now));
     }
 
-    /** Returns the most requests that any host has said of each instance. */
+    /** Returns the highest number of requests that any host has reported for each instance. */
     public Map<UpstreamId, Integer> maxRequests(long now) {
         return requests.max(now);
     }
 
-    /** Returns the most tokens to be read that any host has said of each instance. */
+    /** Returns the highest number of unread tokens that any host has reported for each instance. */
     public Map<UpstreamId, Integer> maxUnreadTokens(long now) {
         return unreadTokens.max(now);
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/InstanceCodec.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/InstanceCodec.java
@@ -26,10 +26,10 @@
     private InstanceCodec() {}
 
     /**
-     * Returns the frame in which a control host tells of instances.
+     * Returns a frame in which a control host reports instances.
      *
-     * @param whole whether these are all that it knows
-     * @param entryHosts how many entry hosts follow it
+     * @param whole whether these are all the instances that it knows
+     * @param entryHosts number of entry hosts that follow it
      */
     public static Frame frame(Collection<Instance> instances, boolean whole, int entryHosts) {
         InstancesUpdate.Builder update =
@@ -63,7 +63,10 @@
         return record.build();
     }
 
-    /** Decodes an instance; what another host's version cannot mean is a finding. */
+    /**
+     * Decodes an instance. A record that this version cannot interpret, for example from a host
+     * with another version, yields a finding.
+     */
     public static Either<Finding, Instance> decode(InstanceRecord record) {
         try {
             return Either.right(instance(record));
@@ -97,10 +100,10 @@
                 record.getOrdersTaken());
     }
 
-    private static Set<ModelId> modelIds(List<String> texts) {
-        Set<ModelId> names = new HashSet<>();
-        texts.forEach(text -> names.add(new ModelId(text)));
-        return names;
+    private static Set<ModelId> modelIds(List<String> names) {
+        Set<ModelId> models = new HashSet<>();
+        names.forEach(name -> models.add(new ModelId(name)));
+        return models;
     }
 
     private static io.stackhall.rpc.generated.fleet.InstanceState encode(InstanceState state) {
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/LimitCodec.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/LimitCodec.java
@@ -18,31 +18,31 @@
 import java.util.List;
 import java.util.OptionalDouble;
 
-/** Limits that upstreams name, and permits to send to them, on the wire. */
+/** Encodes the messages between hosts about limits of upstreams and permits to send requests. */
 public final class LimitCodec {
 
     private LimitCodec() {}
 
-    /** Returns the frame that tells words on limits. */
-    public static Frame updates(Collection<LimitUpdate> words) {
-        LimitWords.Builder all = LimitWords.newBuilder();
-        words.forEach(word -> all.addWords(encode(word)));
-        return Frame.newBuilder().setLimitWords(all).build();
+    /** Returns a frame with limit updates. */
+    public static Frame updates(Collection<LimitUpdate> updates) {
+        LimitWords.Builder message = LimitWords.newBuilder();
+        updates.forEach(update -> message.addWords(encode(update)));
+        return Frame.newBuilder().setLimitWords(message).build();
     }
 
-    /** Decodes words on limits. */
+    /** Decodes limit updates. */
     public static List<LimitUpdate> updates(LimitWords message) {
         return message.getWordsList().stream().map(LimitCodec::decode).toList();
     }
 
-    private static io.stackhall.rpc.generated.fleet.LimitWord encode(LimitUpdate word) {
+    private static io.stackhall.rpc.generated.fleet.LimitWord encode(LimitUpdate update) {
         io.stackhall.rpc.generated.fleet.LimitWord.Builder message =
                 io.stackhall.rpc.generated.fleet.LimitWord.newBuilder()
-                        .setUpstream(word.upstream().toString())
-                        .setEnding(word.ending())
-                        .setTerm(word.revision().term())
-                        .setCount(word.revision().sequence());
-        word.perSecond().ifPresent(message::setPerSecond);
+                        .setUpstream(update.upstream().toString())
+                        .setEnding(update.ending())
+                        .setTerm(update.revision().term())
+                        .setCount(update.revision().sequence());
+        update.perSecond().ifPresent(message::setPerSecond);
         return message.build();
     }
 
@@ -54,19 +54,19 @@
                 new LimitRevision(message.getTerm(), message.getCount()));
     }
 
-    /** Returns the frame by which a host tells what an upstream has said. */
-    public static Frame observation(HostId host, LimitObservation heard) {
+    /** Returns a frame in which a host reports the limit that an upstream announced to it. */
+    public static Frame observation(HostId host, LimitObservation observation) {
         LimitHeard.Builder message =
                 LimitHeard.newBuilder()
                         .setHost(host.value())
-                        .setUpstream(heard.upstream().toString())
-                        .setTerm(heard.basis().term())
-                        .setCount(heard.basis().sequence());
-        heard.perSecond().ifPresent(message::setPerSecond);
+                        .setUpstream(observation.upstream().toString())
+                        .setTerm(observation.basis().term())
+                        .setCount(observation.basis().sequence());
+        observation.perSecond().ifPresent(message::setPerSecond);
         return Frame.newBuilder().setLimitHeard(message).build();
     }
 
-    /** Decodes what an upstream has said to a host. */
+    /** Decodes the limit that an upstream announced to a host. */
     public static LimitObservation observation(LimitHeard message) {
         return new LimitObservation(
                 UpstreamId.parse(message.getUpstream()),
@@ -75,25 +75,25 @@
     }
 
     /**
-     * Returns the frame by which a host asks for a permit.
+     * Returns a frame in which a host requests permits.
      *
-     * @param known what it knows of the limit
+     * @param known the latest update of the limit that the host has received
      */
-    public static Frame request(PermitRequest want, LimitUpdate known) {
+    public static Frame request(PermitRequest request, LimitUpdate known) {
         return Frame.newBuilder()
                 .setPermitAsk(
                         PermitAsk.newBuilder()
-                                .setHost(want.host().value())
-                                .setAlone(want.exclusive())
-                                .setSpare(want.optional())
-                                .setAskedAt(want.requestedAt())
-                                .setReturned(want.returned())
-                                .setUnled(want.autonomous())
+                                .setHost(request.host().value())
+                                .setAlone(request.exclusive())
+                                .setSpare(request.optional())
+                                .setAskedAt(request.requestedAt())
+                                .setReturned(request.returned())
+                                .setUnled(request.autonomous())
                                 .setKnown(encode(known)))
                 .build();
     }
 
-    /** Decodes what a host asks for. */
+    /** Decodes the permit request of a host. */
     public static PermitRequest request(PermitAsk message) {
         return new PermitRequest(
                 new HostId(message.getHost()),
@@ -105,14 +105,14 @@
                 message.getUnled());
     }
 
-    /** Decodes what a host that asks knows of the limit. */
+    /** Decodes the limit update that the requesting host knows. */
     public static LimitUpdate knownLimit(PermitAsk message) {
         return decode(message.getKnown());
     }
 
-    /** Returns the frame that answers a host. */
+    /** Returns a frame with the answer to a permit request. */
     public static Frame answer(PermitAnswer answer, HostId leader) {
-        PermitReply.Builder reply =
+        PermitReply.Builder message =
                 PermitReply.newBuilder()
                         .setLeader(leader.value())
                         .setUpstream(answer.upstream().toString())
@@ -120,11 +120,15 @@
                         .setGranted(answer.granted())
                         .setNextMillis(answer.waits().next().toMillis())
                         .setEachMillis(answer.waits().increment().toMillis());
-        answer.waits().queued().forEach(wait -> reply.addTakenMillis(wait.toMillis()));
-        return Frame.newBuilder().setPermitReply(reply).build();
+        answer.waits().queued().forEach(wait -> message.addTakenMillis(wait.toMillis()));
+        return Frame.newBuilder().setPermitReply(message).build();
     }
 
-    /** Decodes an answer to a host. */
+    /**
+     * Decodes the answer to a permit request.
+     *
+     * @param host the requesting host, which is this one
+     */
     public static PermitAnswer answer(HostId host, PermitReply message) {
         PermitWaits waits =
                 new PermitWaits(
@@ -139,7 +143,7 @@
                 waits);
     }
 
-    private static OptionalDouble optional(boolean told, double figure) {
-        return told ? OptionalDouble.of(figure) : OptionalDouble.empty();
+    private static OptionalDouble optional(boolean present, double value) {
+        return present ? OptionalDouble.of(value) : OptionalDouble.empty();
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/RepeatedTask.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/RepeatedTask.java
@@ -6,8 +6,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Repeats a task on an event loop. A task that fails once is logged and repeated all the same: the
- * loop itself would drop it in silence, while its process looks healthy.
+ * Repeats a task on an event loop. A failure is logged and the task is still repeated: the event
+ * loop itself would cancel the task without a message, while the process looks healthy.
  */
 public final class RepeatedTask {
 
@@ -15,7 +15,7 @@
 
     private RepeatedTask() {}
 
-    /** Runs a task at a fixed interval from now on. */
+    /** Runs a task at a fixed interval in milliseconds, for the first time after one interval. */
     public static void every(EventLoop loop, long millis, Runnable task) {
         loop.scheduleAtFixedRate(() -> run(task), millis, millis, TimeUnit.MILLISECONDS);
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/RoutesCodec.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/RoutesCodec.java
@@ -10,31 +10,32 @@
 import java.util.zip.InflaterInputStream;
 
 /**
- * Packs configurations on their way to entry hosts. One of 200 models has some 30 KB and goes to
- * each of a hundred hosts; packed it has a sixth of that.
+ * Compresses configurations that are sent to entry hosts. A configuration of 200 models has about
+ * 30 KB and is sent to each of a hundred hosts; compressed it has a sixth of that size.
  */
 public final class RoutesCodec {
 
-    /** More than any call with a configuration may have; more than this is no configuration. */
+    /** Exceeds the size limit of calls that submit a configuration, so a larger body is invalid. */
     private static final int MAX_UNPACKED_BYTES = 64 << 20;
 
     private RoutesCodec() {}
 
-    /** Returns a configuration packed. */
+    /** Returns a compressed configuration. */
     public static ByteString compress(ByteString body) {
-        ByteArrayOutputStream packed = new ByteArrayOutputStream();
-        try (DeflaterOutputStream out = new DeflaterOutputStream(packed)) {
+        ByteArrayOutputStream compressed = new ByteArrayOutputStream();
+        try (DeflaterOutputStream out = new DeflaterOutputStream(compressed)) {
             body.writeTo(out);
         } catch (IOException e) {
-            throw new UncheckedIOException("memory cannot fail to be written", e);
+            throw new UncheckedIOException("writing to memory failed", e);
         }
-        return ByteString.copyFrom(packed.toByteArray());
+        return ByteString.copyFrom(compressed.toByteArray());
     }
 
     /**
-     * Returns the configuration that an update brings, packed or as earlier versions send it.
+     * Returns the configuration of an update, which is compressed, or uncompressed from earlier
+     * versions.
      *
-     * @throws IOException if it cannot be unpacked
+     * @throws IOException if it cannot be decompressed
      */
     public static byte[] body(RoutesUpdate update) throws IOException {
         return update.getPackedBody().isEmpty()
@@ -42,12 +43,13 @@
                 : decompress(update.getPackedBody());
     }
 
-    private static byte[] decompress(ByteString packed) throws IOException {
+    private static byte[] decompress(ByteString compressed) throws IOException {
         try (InflaterInputStream in =
-                new InflaterInputStream(new ByteArrayInputStream(packed.toByteArray()))) {
+                new InflaterInputStream(new ByteArrayInputStream(compressed.toByteArray()))) {
             byte[] body = in.readNBytes(MAX_UNPACKED_BYTES);
             if (in.read() >= 0) {
-                throw new IOException("more than " + MAX_UNPACKED_BYTES + " bytes");
+                throw new IOException(
+                        "configuration has more than " + MAX_UNPACKED_BYTES + " bytes");
             }
             return body;
         }
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/SimpleHttpServer.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/SimpleHttpServer.java
@@ -22,24 +22,24 @@
 import io.stackhall.server.settings.Address;
 import java.util.function.Function;
 
-/** Answers short calls that concern the process itself: whether it is ready, and its metrics. */
+/** A minimal HTTP server for short requests about the process: its readiness and metrics. */
 public final class SimpleHttpServer {
 
     private static final int MAX_REQUEST_BYTES = 4096;
 
     private SimpleHttpServer() {}
 
-    /** An answer: its status and body. */
+    /** A response with its status code and body. */
     public record Response(int status, byte[] body) {}
 
     /**
-     * Starts to answer.
+     * Starts the server.
      *
-     * @param answers the answer to a call by its path
+     * @param handler returns the response to a request from its URI
      * @throws io.netty.channel.ChannelException if the address cannot be bound
      */
     public static Channel listen(
-            EventLoopGroup threads, Address address, Function<String, Response> answers) {
+            EventLoopGroup threads, Address address, Function<String, Response> handler) {
         return new ServerBootstrap()
                 .group(threads)
                 .channel(NioServerSocketChannel.class)
@@ -51,7 +51,7 @@
                                         .addLast(
                                                 new HttpServerCodec(),
                                                 new HttpObjectAggregator(MAX_REQUEST_BYTES),
-                                                new Handler(answers));
+                                                new Handler(handler));
                             }
                         })
                 .bind(address.socket())
@@ -59,23 +59,23 @@
                 .channel();
     }
 
-    /** Answers the calls of one connection. */
+    /** Responds to the requests of one connection. */
     private static final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final Function<String, Response> answers;
+        private final Function<String, Response> handler;
 
-        Handler(Function<String, Response> answers) {
-            this.answers = answers;
+        Handler(Function<String, Response> handler) {
+            this.handler = handler;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            Response answer = answers.apply(request.uri());
+            Response content = handler.apply(request.uri());
             FullHttpResponse response =
                     new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1,
-                            HttpResponseStatus.valueOf(answer.status()),
-                            Unpooled.wrappedBuffer(answer.body()));
-            response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, answer.body().length);
+                            HttpResponseStatus.valueOf(content.status()),
+                            Unpooled.wrappedBuffer(content.body()));
+            response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, content.body().length);
             if (HttpUtil.isKeepAlive(request)) {
                 context.writeAndFlush(response);
             } else {
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/WorkCodec.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/WorkCodec.java
@@ -11,12 +11,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Encodes and decodes how many requests hosts have at instances. */
+/** Encodes the reports of hosts about their work at instances and the demand for models. */
 public final class WorkCodec {
 
     private WorkCodec() {}
 
-    /** Returns the frame in which an entry host tells of its own work. */
+    /** Returns a frame in which an entry host reports its own work. */
     public static Frame encodeOwn(
             HostId host, Map<UpstreamId, InstanceWork> work, Map<UpstreamId, Integer> unread) {
         WorkReport.Builder report = WorkReport.newBuilder().setHost(host.value());
@@ -32,7 +32,7 @@
         return Frame.newBuilder().setWork(report).build();
     }
 
-    /** Returns the frame in which a control host tells of the work of others. */
+    /** Returns a frame in which a control host reports the total work of other hosts. */
     public static Frame encodeOthers(
             HostId host, Map<UpstreamId, Integer> requests, Map<UpstreamId, Integer> unread) {
         Map<UpstreamId, InstanceWork> work = new HashMap<>();
@@ -40,10 +40,10 @@
         return encodeOwn(host, work, unread);
     }
 
-    /** Returns the frame in which a control host tells what its entry hosts are asked for. */
-    public static Frame encode(HostId host, Map<String, ReportAggregator.Demand> asked) {
+    /** Returns a frame in which a control host reports the demand at its entry hosts. */
+    public static Frame encode(HostId host, Map<String, ReportAggregator.Demand> demand) {
         DemandReport.Builder report = DemandReport.newBuilder().setHost(host.value());
-        asked.forEach(
+        demand.forEach(
                 (name, one) ->
                         report.addCounts(
                                 DemandCount.newBuilder()
@@ -53,25 +53,25 @@
         return Frame.newBuilder().setDemand(report).build();
     }
 
-    /** Returns what a host is asked for, by model or model and adapter. */
+    /** Returns the demand at a host, by model or by model and adapter. */
     public static Map<String, ReportAggregator.Demand> decode(DemandReport report) {
-        Map<String, ReportAggregator.Demand> asked = new HashMap<>();
+        Map<String, ReportAggregator.Demand> demand = new HashMap<>();
         for (DemandCount count : report.getCountsList()) {
-            asked.put(
+            demand.put(
                     count.getModel(),
                     new ReportAggregator.Demand(count.getArrivals(), count.getWaiting()));
         }
-        return asked;
+        return demand;
     }
 
-    /** Returns the requests by instance. */
+    /** Returns the number of requests at each instance. */
     public static Map<UpstreamId, Integer> requests(Map<UpstreamId, InstanceWork> work) {
         Map<UpstreamId, Integer> requests = new HashMap<>();
         work.forEach((id, one) -> requests.put(id, one.requests()));
         return requests;
     }
 
-    /** Returns the tokens of prompts that are not read yet, by instance. */
+    /** Returns the number of unread prompt tokens at each instance. */
     public static Map<UpstreamId, Integer> unreadTokens(WorkReport report) {
         Map<UpstreamId, Integer> unread = new HashMap<>();
         report.getWorkList()
@@ -83,7 +83,7 @@
         return unread;
     }
 
-    /** Returns the work by instance. */
+    /** Returns the work at each instance. */
     public static Map<UpstreamId, InstanceWork> decode(WorkReport report) {
         Map<UpstreamId, InstanceWork> work = new HashMap<>();
         report.getWorkList()
--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/package-info.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/package-info.java
@@ -1,2 +1,5 @@
-/** How hosts that know a few seeds find each other and keep a common list of upstreams. */
+/**
+ * Components shared by entry and control hosts, which discover each other through seeds: discovery,
+ * message codecs and reports of work.
+ */
 package io.stackhall.server.fleet;
