--- a/stackhall-server/src/main/java/io/stackhall/server/fleet/ControlHosts.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/fleet/ControlHosts.java
@@ -22,28 +22,31 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The control hosts that this process knows: the seeds, and whom they and others name. A connection
- * is kept to each; one that has not answered for long is forgotten unless it is a seed.
+ * The control hosts that this process knows: the seeds, and the control hosts that other hosts name
+ * in their introductions. A connection is maintained to each of them. A host that stays unreachable
+ * for 30 seconds is removed unless it is a seed.
  */
 public final class ControlHosts {
 
     private static final Logger logger = LogManager.getLogger(ControlHosts.class);
 
-    /** A host that was replaced stays away; one that restarts or is cut off returns sooner. */
-    private static final long FORGET_NANOS = TimeUnit.SECONDS.toNanos(30);
+    /**
+     * Exceeds the absence of a host that restarts or is cut off; a replaced host does not return.
+     */
+    private static final long REMOVAL_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     private final FleetSettings settings;
     private final PeerTransport transport;
     private final Consumer<HostId> onConnected;
-    private final Map<HostId, Long> lastUp = new LinkedHashMap<>();
-    private final Set<HostId> up = ConcurrentHashMap.newKeySet();
+    private final Map<HostId, Long> lastConnected = new LinkedHashMap<>();
+    private final Set<HostId> connectedHosts = ConcurrentHashMap.newKeySet();
     private final Map<HostId, ZoneId> zones = new ConcurrentHashMap<>();
     private Set<HostId> seeds;
 
     /**
-     * Creates the list; nothing is connected yet.
+     * Creates the list without connecting.
      *
-     * @param onConnected told on a network thread of each connection that has come up
+     * @param onConnected called on a network thread whenever a connection to a host is established
      */
     public ControlHosts(
             FleetSettings settings, PeerTransport transport, Consumer<HostId> onConnected) {
@@ -60,36 +63,36 @@
 
     /** Connects to the seeds. */
     public synchronized void start() {
-        learn(settings.seedPeers());
+        addHosts(settings.seedPeers());
     }
 
-    /** Takes over other seeds. */
-    public synchronized void reseed(Collection<HostId> next) {
-        seeds = Set.copyOf(next);
-        learn(next);
+    /** Replaces the seeds and connects to the new ones. */
+    public synchronized void setSeeds(Collection<HostId> newSeeds) {
+        seeds = Set.copyOf(newSeeds);
+        addHosts(newSeeds);
     }
 
-    /** Takes in hosts that another has named. */
-    public synchronized void learn(Collection<HostId> named) {
-        for (HostId host : named) {
-            boolean known = host.equals(settings.peerName()) || lastUp.containsKey(host);
+    /** Adds and connects to the hosts that are not known yet. */
+    public synchronized void addHosts(Collection<HostId> hosts) {
+        for (HostId host : hosts) {
+            boolean known = host.equals(settings.peerName()) || lastConnected.containsKey(host);
             if (!known) {
-                lastUp.put(host, BootClock.nanos());
+                lastConnected.put(host, BootClock.nanos());
                 logger.info("control-host.learned host={}", host);
                 transport.link(host, Address.parse(host.value()), () -> connected(host));
             }
         }
     }
 
-    /** Returns the known hosts, this one excepted. */
-    public synchronized List<HostId> all() {
-        return new ArrayList<>(lastUp.keySet());
+    /** Returns the known control hosts except this one. */
+    public synchronized List<HostId> knownHosts() {
+        return new ArrayList<>(lastConnected.keySet());
     }
 
-    /** Returns the hosts that are connected and have said in which zone they stand. */
+    /** Returns the zones of the connected hosts that have announced their zone. */
     public Map<HostId, ZoneId> connected() {
         Map<HostId, ZoneId> connected = new HashMap<>();
-        for (HostId host : all()) {
+        for (HostId host : knownHosts()) {
             ZoneId zone = zones.get(host);
             if (zone != null && transport.connected(host)) {
                 connected.put(host, zone);
@@ -98,19 +101,19 @@
         return connected;
     }
 
-    /** Notes which connections are down, and forgets hosts that have been away for long. */
-    public synchronized void sweep() {
+    /** Logs lost connections and removes the hosts that timed out; called periodically. */
+    public synchronized void checkConnections() {
         long now = BootClock.nanos();
-        for (HostId host : all()) {
+        for (HostId host : knownHosts()) {
             if (transport.connected(host)) {
-                lastUp.put(host, now);
+                lastConnected.put(host, now);
                 continue;
             }
-            if (up.remove(host)) {
+            if (connectedHosts.remove(host)) {
                 logger.info("control-host.lost host={}", host);
             }
-            if (!seeds.contains(host) && now - lastUp.get(host) > FORGET_NANOS) {
-                lastUp.remove(host);
+            if (!seeds.contains(host) && now - lastConnected.get(host) > REMOVAL_TIMEOUT_NANOS) {
+                lastConnected.remove(host);
                 zones.remove(host);
                 transport.unlink(host);
                 logger.info("control-host.forgotten host={}", host);
@@ -118,7 +121,11 @@
         }
     }
 
-    /** Returns the frame in which this process says who it is and whom it knows. */
+    /**
+     * Returns a frame with the address and zone of this process and its connected control hosts.
+     *
+     * @param answer whether it answers an introduction of the other host
+     */
     public synchronized Frame introduction(boolean answer) {
         Introduction.Builder introduction =
                 Introduction.newBuilder()
@@ -126,14 +133,14 @@
                         .setControl(settings.control().isPresent())
                         .setZone(settings.zone().value())
                         .setAnswer(answer);
-        lastUp.keySet().stream()
+        lastConnected.keySet().stream()
                 .filter(transport::connected)
                 .forEach(host -> introduction.addControlHosts(host.value()));
         return Frame.newBuilder().setIntroduction(introduction).build();
     }
 
-    /** Takes in another process's introduction. */
-    public void introduced(Introduction introduction) {
+    /** Handles another process's introduction and adds the control hosts that it names. */
+    public void receiveIntroduction(Introduction introduction) {
         List<HostId> named = new ArrayList<>();
         introduction.getControlHostsList().forEach(host -> named.add(new HostId(host)));
         if (introduction.getControl()) {
@@ -143,11 +150,11 @@
                 zones.put(host, new ZoneId(introduction.getZone()));
             }
         }
-        learn(named);
+        addHosts(named);
     }
 
     private void connected(HostId host) {
-        up.add(host);
+        connectedHosts.add(host);
         logger.info("control-host.connected host={}", host);
         transport.send(host, introduction(false));
         onConnected.accept(host);
--- a/stackhall-server/src/main/java/io/stackhall/server/node/ConfigExchange.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/ConfigExchange.java
@@ -19,109 +19,118 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Spreads the configuration: every host tells the control hosts and its zone what it has, whoever
- * has a newer one answers with it, and a new one is passed on at once.
+ * Distributes the configuration. Every host regularly reports its active revision to the control
+ * hosts and to the hosts of its zone, and a host with a newer revision replies with it. A new
+ * revision is also forwarded as soon as it is active.
  */
 public final class ConfigExchange {
 
-    private static final long FORGET_NANOS = TimeUnit.SECONDS.toNanos(10);
+    private static final long MAX_REPORT_AGE_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     private final Settings settings;
     private final ConfigStore store;
     private final PeerTransport transport;
-    private final long process;
-    private final List<HostId> others;
+    private final long processId;
+    private final List<HostId> otherHosts;
     private final List<HostId> zonePeers;
-    private final Map<HostId, Follower> followers = new ConcurrentHashMap<>();
+    private final Map<HostId, HostReport> hostReports = new ConcurrentHashMap<>();
     private volatile boolean leading;
 
-    /** Creates an exchange for a store. */
+    /**
+     * Creates an exchange for a store.
+     *
+     * @param processId random number of this process
+     */
     public ConfigExchange(
-            Settings settings, ConfigStore store, PeerTransport transport, long process) {
+            Settings settings, ConfigStore store, PeerTransport transport, long processId) {
         this.settings = settings;
         this.store = store;
         this.transport = transport;
-        this.process = process;
+        this.processId = processId;
         List<HostId> all = settings.hosts().stream().map(Settings.Host::host).toList();
-        this.others = without(settings.host(), all);
+        this.otherHosts = without(settings.host(), all);
         this.zonePeers = without(settings.host(), settings.hostsIn(settings.zone()));
-        store.listen(ignored -> passOn());
+        store.addListener(ignored -> forward());
     }
 
     /**
-     * What a host has said of itself.
+     * The latest report of a host.
      *
      * @param zone its zone
-     * @param revision what is in force there
-     * @param millisToForce how long that took
-     * @param process drawn at the start of its process
-     * @param at when it spoke, on the monotonic clock
+     * @param revision the configuration revision that is active there
+     * @param activationMillis time from the acceptance of the revision to its activation there, in
+     *     milliseconds
+     * @param processId random number that the host drew at the start of its process
+     * @param receivedAt when the report was received, on this host's monotonic clock in nanoseconds
      */
-    public record Follower(ZoneId zone, long revision, long millisToForce, long process, long at) {
-        /** Returns whether it has spoken lately. */
-        public boolean recent() {
-            return BootClock.nanos() - at < FORGET_NANOS;
+    public record HostReport(
+            ZoneId zone, long revision, long activationMillis, long processId, long receivedAt) {
+        /** Returns whether the report was received within the last 10 seconds. */
+        public boolean isRecent() {
+            return BootClock.nanos() - receivedAt < MAX_REPORT_AGE_NANOS;
         }
     }
 
-    /** Tells the control hosts and the zone what is in force here; to be called regularly. */
-    public void tell() {
-        ConfigStore.InForce inForce = store.inForce();
+    /** Reports the active revision to the control hosts and the zone; called periodically. */
+    public void sendReport() {
+        ConfigStore.ActiveConfiguration active = store.active();
         Frame frame =
                 Frame.newBuilder()
                         .setFollow(
                                 ConfigFollow.newBuilder()
                                         .setHost(settings.host().value())
                                         .setZone(settings.zone().value())
-                                        .setRevision(inForce.configuration().revision())
-                                        .setMillisToForce(inForce.millisToForce())
-                                        .setProcess(process))
+                                        .setRevision(active.configuration().revision())
+                                        .setMillisToForce(active.activationMillis())
+                                        .setProcess(processId))
                         .build();
         settings.groups().control().forEach(host -> transport.send(host, frame));
         zonePeers.stream()
                 .filter(host -> !settings.groups().control().contains(host))
                 .forEach(host -> transport.send(host, frame));
-        heard(settings.host(), frame.getFollow());
+        recordReport(settings.host(), frame.getFollow());
     }
 
-    /** Takes what another host says of itself. */
-    public void received(ConfigFollow follow, Replier replier) {
-        heard(new HostId(follow.getHost()), follow);
+    /** Handles another host's report and replies with the configuration if it is newer here. */
+    public void receive(ConfigFollow follow, Replier replier) {
+        recordReport(new HostId(follow.getHost()), follow);
         if (follow.getRevision() < store.current().revision()) {
-            replier.send(update());
+            replier.send(updateFrame());
         }
     }
 
-    /** Takes a configuration from another host. */
-    public void received(ConfigUpdate update) {
+    /** Handles a configuration from another host; an older or equal revision is ignored. */
+    public void receive(ConfigUpdate update) {
         if (update.getRevision() > store.current().revision()) {
-            Configuration next =
+            Configuration received =
                     Json.read(Configuration.class, update.getConfiguration().toByteArray());
-            store.offer(next, update.getAgeMillis());
+            store.offer(received, update.getAgeMillis());
         }
     }
 
-    /** Returns what each host has said of itself lately. */
-    public Map<HostId, Follower> followers() {
-        return Map.copyOf(followers);
+    /** Returns the latest report of each host, however old. */
+    public Map<HostId, HostReport> hostReports() {
+        return Map.copyOf(hostReports);
     }
 
-    /** Returns the process that a host last spoke from. */
-    public Optional<Long> processOf(HostId host) {
-        return Optional.ofNullable(followers.get(host)).map(Follower::process);
+    /** Returns the process id in the latest report of a host. */
+    public Optional<Long> processIdOf(HostId host) {
+        return Optional.ofNullable(hostReports.get(host)).map(HostReport::processId);
     }
 
-    /** Notes whether this host leads the control group. */
-    public void led(boolean leads) {
-        leading = leads;
+    /** Sets whether this host leads the control group. */
+    public void setLeading(boolean leading) {
+        this.leading = leading;
     }
 
-    /** The control leader sends a new configuration to every host, others to their zone. */
-    private void passOn() {
+    /**
+     * Sends the configuration to all hosts from the control leader, else to the hosts of the zone.
+     */
+    private void forward() {
         if (store.current().revision() > 0) {
-            Frame frame = update();
-            List<HostId> to = leading ? others : zonePeers;
-            to.forEach(host -> transport.send(host, frame));
+            Frame frame = updateFrame();
+            List<HostId> recipients = leading ? otherHosts : zonePeers;
+            recipients.forEach(host -> transport.send(host, frame));
         }
     }
 
@@ -129,10 +138,10 @@
         return hosts.stream().filter(host -> !host.equals(self)).toList();
     }
 
-    private void heard(HostId host, ConfigFollow follow) {
-        followers.put(
+    private void recordReport(HostId host, ConfigFollow follow) {
+        hostReports.put(
                 host,
-                new Follower(
+                new HostReport(
                         new ZoneId(follow.getZone()),
                         follow.getRevision(),
                         follow.getMillisToForce(),
@@ -140,15 +149,15 @@
                         BootClock.nanos()));
     }
 
-    private Frame update() {
-        ConfigStore.InForce inForce = store.inForce();
-        byte[] bytes = Json.write(Configuration.class, inForce.configuration());
+    private Frame updateFrame() {
+        ConfigStore.ActiveConfiguration active = store.active();
+        byte[] bytes = Json.write(Configuration.class, active.configuration());
         return Frame.newBuilder()
                 .setUpdate(
                         ConfigUpdate.newBuilder()
-                                .setRevision(inForce.configuration().revision())
+                                .setRevision(active.configuration().revision())
                                 .setConfiguration(ByteString.copyFrom(bytes))
-                                .setAgeMillis(inForce.ageMillis()))
+                                .setAgeMillis(active.ageMillis()))
                 .build();
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/node/NodeGroups.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/NodeGroups.java
@@ -30,18 +30,21 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.random.RandomGenerator;
 
-/** The replicas that this host runs: of the control group, of its zone's, and as a witness. */
+/**
+ * The replicas that this host runs: of the control group, of its zone's group, and of the groups of
+ * other zones in which it votes as a witness.
+ */
 final class NodeGroups implements AutoCloseable {
 
     private static final int MAX_ENTRIES_PER_MESSAGE = 512;
-    private static final int DRIFT_MARGIN_SHARE = 10;
+    private static final int DRIFT_MARGIN_DIVISOR = 10;
     private static final int EVERY_HOST_VOTES = 0;
 
     private final Settings settings;
-    private final Optional<DataFolder> folder;
+    private final Optional<DataFolder> dataFolder;
     private final PeerTransport transport;
     private final RandomGenerator random;
-    private final Map<String, GroupHost> hosts = new ConcurrentHashMap<>();
+    private final Map<String, GroupHost> replicas = new ConcurrentHashMap<>();
 
     NodeGroups(
             Settings settings,
@@ -49,50 +52,50 @@
             PeerTransport transport,
             RandomGenerator random) {
         this.settings = settings;
-        this.folder = folder;
+        this.dataFolder = folder;
         this.transport = transport;
         this.random = random;
     }
 
-    /** Returns the running replicas by group; it fills as they are opened. */
-    Map<String, GroupHost> hosts() {
-        return hosts;
+    /** Returns a live view of the opened replicas by group name. */
+    Map<String, GroupHost> replicas() {
+        return replicas;
     }
 
-    /** Opens the replica of the control group, if this host keeps one. */
+    /** Opens the replica of the control group, if this host is a member. */
     void openControl(ControlState state, GroupListener listener) throws IOException {
         open(Settings.CONTROL_GROUP, settings.groups().control(), state, listener);
     }
 
-    /** Opens the replica of a zone's group, if this host keeps one. */
+    /** Opens the replica of a zone's group, if this host is a member. */
     void openZone(ZoneId zone, ZoneState state, GroupListener listener) throws IOException {
         open(Settings.zoneGroup(zone), settings.groups().zones().get(zone), state, listener);
     }
 
-    /** Takes a message for one of the replicas. */
-    void received(Raft raft) {
-        GroupHost host = hosts.get(raft.getGroup());
+    /** Passes a replication message to its replica; it is ignored if this host has none. */
+    void receive(Raft raft) {
+        GroupHost host = replicas.get(raft.getGroup());
         if (host != null) {
             host.receive(ReplicationCodec.decode(raft));
         }
     }
 
-    /** Takes a hello for one of the replicas. */
-    void received(io.stackhall.rpc.generated.peer.Hello hello) {
-        GroupHost host = hosts.get(hello.getGroup());
+    /** Passes a hello to its replica; it is ignored if this host has none. */
+    void receive(io.stackhall.rpc.generated.peer.Hello hello) {
+        GroupHost host = replicas.get(hello.getGroup());
         if (host != null) {
             host.receive(ReplicationCodec.decode(hello));
         }
     }
 
-    /** Hands every leadership over. */
-    void transferAll() {
-        hosts.values().forEach(GroupHost::transfer);
+    /** Transfers the leadership of every group that this host leads. */
+    void transferLeaderships() {
+        replicas.values().forEach(GroupHost::transfer);
     }
 
     @Override
     public void close() throws IOException {
-        for (GroupHost host : hosts.values()) {
+        for (GroupHost host : replicas.values()) {
             host.close();
         }
     }
@@ -116,20 +119,20 @@
                         listener,
                         random,
                         BootClock.nanos());
-        hosts.put(group, host);
+        replicas.put(group, host);
     }
 
     /** Starts every opened replica. */
     void start() {
-        hosts.values().forEach(GroupHost::start);
+        replicas.values().forEach(GroupHost::start);
     }
 
     private ReplicaStorage storage(String group) throws IOException {
-        if (folder.isEmpty()) {
+        if (dataFolder.isEmpty()) {
             return new MemoryStorage(random.nextLong(1, Long.MAX_VALUE));
         }
         return DiskStorage.open(
-                folder.get().resolve("groups").resolve(group),
+                dataFolder.get().resolve("groups").resolve(group),
                 random,
                 settings.limits().leastFreeBytes());
     }
@@ -139,12 +142,12 @@
         return new ReplicaSettings(
                 timing.electionTimeout(),
                 timing.heartbeat(),
-                timing.electionTimeout().dividedBy(DRIFT_MARGIN_SHARE),
+                timing.electionTimeout().dividedBy(DRIFT_MARGIN_DIVISOR),
                 MAX_ENTRIES_PER_MESSAGE,
                 EVERY_HOST_VOTES);
     }
 
-    /** Carries a group's messages over the connections between hosts. */
+    /** Sends the messages of a group over the connections between hosts. */
     private final class Wire implements GroupWire {
         private final List<HostId> members;
 
--- a/stackhall-server/src/main/java/io/stackhall/server/node/PlacementDriver.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/PlacementDriver.java
@@ -31,7 +31,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Runs the placement coordinator of one zone on one thread and carries its effects out. */
+/** Runs the placement coordinator of one zone on one thread and executes its effects. */
 public final class PlacementDriver implements AutoCloseable {
 
     private static final Logger logger = LogManager.getLogger(PlacementDriver.class);
@@ -40,103 +40,103 @@
 
     private final PlacementCoordinator coordinator;
     private final OrderClient orders;
-    private final ScheduledExecutorService thread;
+    private final ScheduledExecutorService executor;
     private volatile GroupHost group;
 
     /** Creates a driver for a zone. */
     public PlacementDriver(String zone, PlacementSettings settings, OrderClient orders) {
         this.coordinator = new PlacementCoordinator(settings, BootClock.nanos());
         this.orders = orders;
-        this.thread =
+        this.executor =
                 Executors.newSingleThreadScheduledExecutor(
                         task -> new Thread(task, "placement-" + zone));
     }
 
     /**
-     * The measures of a zone's policies, as its present leader counts them.
+     * The counts of a zone's placement policies, as the current leader of its group counts them.
      *
-     * @param active the policy in force
-     * @param counts what it has cost and missed
-     * @param byPolicy the same of every policy that has been in force
-     * @param compared what the compared policy would have cost and missed
+     * @param active the active policy
+     * @param counts loads and misses under the active policy
+     * @param byPolicy loads and misses under each policy that has been active
+     * @param compared estimated loads and misses of the shadow policy, if there is one
      */
     public record Measures(
             PolicyName active,
             PlacementCounts counts,
             Map<PolicyName, PlacementCounts> byPolicy,
-            Optional<Compared> compared) {}
+            Optional<ComparedPolicy> compared) {}
 
-    /** What a policy that decides in shadow would have cost and missed. */
-    public record Compared(PolicyName policy, PlacementCounts counts) {}
+    /** Estimated loads and misses of a policy that is only simulated beside the active one. */
+    public record ComparedPolicy(PolicyName policy, PlacementCounts counts) {}
 
-    /** Starts the clock, with the group to which intents are proposed. */
+    /** Starts the periodic ticks; intents are proposed to the given group. */
     public void start(GroupHost zoneGroup) {
         group = zoneGroup;
-        thread.scheduleAtFixedRate(
-                () -> take(new PlacementEvent.Tick()),
+        executor.scheduleAtFixedRate(
+                () -> step(new PlacementEvent.Tick()),
                 TICK_MILLIS,
                 TICK_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Tells that this host leads, or leads no more. */
-    public void led(boolean leading, OrderLedger.State state) {
+    /** Sets whether this host leads the zone's group. */
+    public void setLeading(boolean leading, OrderLedger.State state) {
         submit(leading ? new PlacementEvent.Led(state) : new PlacementEvent.Deposed());
     }
 
-    /** Tells of a change of the ledger. */
-    public void changed(OrderLedger.State state) {
+    /** Submits a changed order ledger. */
+    public void updateLedger(OrderLedger.State state) {
         submit(new PlacementEvent.LedgerChanged(state));
     }
 
-    /** Takes an upstream's announcement. */
-    public void announced(Announcement announcement) {
+    /** Submits an upstream's announcement. */
+    public void receiveAnnouncement(Announcement announcement) {
         submit(new PlacementEvent.Reported(announcement));
     }
 
-    /** Forgets an upstream. */
-    public void lost(UpstreamId upstream) {
+    /** Removes an upstream that has timed out. */
+    public void removeUpstream(UpstreamId upstream) {
         submit(new PlacementEvent.UpstreamLost(upstream));
     }
 
-    /** Takes the configuration in force. */
-    public void configured(Configuration configuration) {
+    /** Applies the active configuration. */
+    public void applyConfiguration(Configuration configuration) {
         submit(new PlacementEvent.Configured(configuration));
     }
 
-    /** Takes an entry host's demand. */
-    public void demanded(
+    /** Records the arrivals since its last report and the waiting requests of an entry host. */
+    public void recordDemand(
             HostId host, Map<ModelId, Integer> arrivals, Map<ModelId, Integer> waiting) {
         submit(new PlacementEvent.Demanded(host, arrivals, waiting));
     }
 
-    /** Returns the measures as they are now. */
+    /** Returns the current measures, read on the driver's thread. */
     public CompletableFuture<Measures> measures() {
-        return CompletableFuture.supplyAsync(this::measured, thread);
+        return CompletableFuture.supplyAsync(this::currentMeasures, executor);
     }
 
-    private Measures measured() {
+    private Measures currentMeasures() {
         return new Measures(
                 coordinator.activePolicy(),
                 coordinator.counts(),
                 coordinator.countsByPolicy(),
                 coordinator
                         .comparedPolicy()
-                        .map(policy -> new Compared(policy, coordinator.comparedCounts())));
+                        .map(policy -> new ComparedPolicy(policy, coordinator.comparedCounts())));
     }
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 
     private void submit(PlacementEvent event) {
-        if (!thread.isShutdown()) {
-            thread.execute(() -> take(event));
+        if (!executor.isShutdown()) {
+            executor.execute(() -> step(event));
         }
     }
 
-    private void take(PlacementEvent event) {
+    private void step(PlacementEvent event) {
         try {
             for (PlacementEffect effect : coordinator.step(event, BootClock.nanos())) {
                 switch (effect) {
@@ -154,13 +154,13 @@
         group.command(bytes)
                 .thenAccept(
                         outcome -> {
-                            if (!applied(outcome)) {
+                            if (!isApplied(outcome)) {
                                 submit(new PlacementEvent.ProposalFailed(command));
                             }
                         });
     }
 
-    private static boolean applied(CommandOutcome outcome) {
+    private static boolean isApplied(CommandOutcome outcome) {
         return switch (outcome) {
             case CommandOutcome.Done(byte[] bytes) ->
                     Json.read(ZoneResult.class, bytes) instanceof ZoneResult.OrdersChanged changed
@@ -170,7 +170,10 @@
         };
     }
 
-    /** Sends only while the lease holds; a thawed process finds it gone. */
+    /**
+     * Sends an order, provided that the lease is still held when it goes out. A process that was
+     * suspended may have lost it meanwhile.
+     */
     private void send(Order order, String address) {
         logger.info(
                 "placement.order number={} kind={} artifact={} upstream={}",
--- a/stackhall-server/src/main/java/io/stackhall/server/node/TrafficDriver.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/TrafficDriver.java
@@ -25,18 +25,22 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.random.RandomGenerator;
 
-/** Runs the traffic director on one thread and brings its decisions to whoever waits for them. */
+/** Runs the traffic scheduler on one thread and completes the futures of its decisions. */
 public final class TrafficDriver implements AutoCloseable {
 
     private static final long TICK_MILLIS = 20;
 
-    private final TrafficScheduler director;
-    private final Map<RequestId, CompletableFuture<Decision>> awaited = new HashMap<>();
+    private final TrafficScheduler trafficScheduler;
+    private final Map<RequestId, CompletableFuture<Decision>> pendingDecisions = new HashMap<>();
     private final AtomicInteger inFlight = new AtomicInteger();
-    private final ScheduledExecutorService thread =
+    private final ScheduledExecutorService executor =
             Executors.newSingleThreadScheduledExecutor(task -> new Thread(task, "traffic"));
 
-    /** Creates a driver with standard routing. */
+    /**
+     * Creates a driver with standard routing settings.
+     *
+     * @param maxWaiting maximum number of waiting requests at this host
+     */
     public TrafficDriver(int maxWaiting, RandomGenerator random) {
         AdmissionSettings standard = AdmissionSettings.standard();
         AdmissionSettings settings =
@@ -45,127 +49,137 @@
                         Math.max(1, maxWaiting / 2),
                         standard.retryShare(),
                         standard.maxAttempts());
-        this.director =
+        this.trafficScheduler =
                 new TrafficScheduler(settings, new Router(RoutingSettings.standard(), random));
     }
 
-    /** What was decided for a request. */
+    /** The decision on a request. */
     public sealed interface Decision {
-        /** Send it there. */
+        /** Send the request to this upstream. */
         record Send(UpstreamId upstream, String address) implements Decision {}
 
-        /** Give it its final answer. */
+        /** Answer the request with this refusal. */
         record GiveUp(Refusal refusal, RequestOutcome outcome, int retryAfterSeconds)
                 implements Decision {}
     }
 
-    /** How much there is to do, and what was asked for since the last call. */
+    /**
+     * The demand at this host.
+     *
+     * @param arrivals requests that have arrived since the last call, by model
+     * @param waitingByModel requests that wait for an upstream, by model
+     * @param waiting all requests that wait for an upstream
+     * @param running requests that have been dispatched and have not ended
+     */
     public record Demand(
             Map<ModelId, Integer> arrivals,
             Map<ModelId, Integer> waitingByModel,
             int waiting,
             int running) {}
 
-    /** Starts the clock. */
+    /** Starts the periodic ticks. */
     public void start() {
-        thread.scheduleAtFixedRate(
+        executor.scheduleAtFixedRate(
                 () -> step(new TrafficEvent.Tick()),
                 TICK_MILLIS,
                 TICK_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Asks for a request to be served. */
-    public CompletableFuture<Decision> arrive(Arrival arrival) {
+    /** Submits a request; the future completes with the decision on it. */
+    public CompletableFuture<Decision> submit(Arrival arrival) {
         CompletableFuture<Decision> decision = new CompletableFuture<>();
-        thread.execute(
+        executor.execute(
                 () -> {
-                    awaited.put(arrival.id(), decision);
+                    pendingDecisions.put(arrival.id(), decision);
                     step(new TrafficEvent.Arrived(arrival));
                 });
         return decision;
     }
 
-    /** Tells that an attempt served its request, or that nothing more can be done for it. */
-    public void ended(RequestId id, AttemptResult ending, RequestOutcome outcome) {
-        thread.execute(() -> step(new TrafficEvent.AttemptEnded(id, ending, outcome, true)));
+    /** Records that an attempt has ended and that its request needs no further decision. */
+    public void recordCompletion(RequestId id, AttemptResult result, RequestOutcome outcome) {
+        executor.execute(() -> step(new TrafficEvent.AttemptEnded(id, result, outcome, true)));
     }
 
-    /** Tells that an attempt failed before anything reached the caller, and asks what now. */
-    public CompletableFuture<Decision> failed(
-            RequestId id, AttemptResult ending, RequestOutcome why) {
+    /**
+     * Records that an attempt failed before any part of an answer reached the caller; the future
+     * completes with the next decision.
+     */
+    public CompletableFuture<Decision> recordFailure(
+            RequestId id, AttemptResult result, RequestOutcome outcome) {
         CompletableFuture<Decision> decision = new CompletableFuture<>();
-        thread.execute(
+        executor.execute(
                 () -> {
-                    awaited.put(id, decision);
-                    step(new TrafficEvent.AttemptEnded(id, ending, why, false));
+                    pendingDecisions.put(id, decision);
+                    step(new TrafficEvent.AttemptEnded(id, result, outcome, false));
                 });
         return decision;
     }
 
-    /** Tells that a request's caller has gone. */
+    /** Withdraws a request whose caller has disconnected; its pending decision never completes. */
     public void withdraw(RequestId id) {
-        thread.execute(
+        executor.execute(
                 () -> {
-                    awaited.remove(id);
+                    pendingDecisions.remove(id);
                     step(new TrafficEvent.Withdrawn(id));
                 });
     }
 
-    /** Takes an upstream's announcement. */
-    public void announced(Announcement announcement) {
-        thread.execute(() -> step(new TrafficEvent.Announced(announcement)));
+    /** Submits an upstream's announcement. */
+    public void receiveAnnouncement(Announcement announcement) {
+        executor.execute(() -> step(new TrafficEvent.Announced(announcement)));
     }
 
-    /** Forgets an upstream. */
-    public void lost(UpstreamId upstream) {
-        thread.execute(() -> step(new TrafficEvent.UpstreamLost(upstream)));
+    /** Removes an upstream that has timed out. */
+    public void removeUpstream(UpstreamId upstream) {
+        executor.execute(() -> step(new TrafficEvent.UpstreamLost(upstream)));
     }
 
-    /** Takes what another zone's host says of its zone. */
-    public void neighbourAnnounced(Announcement announcement) {
-        thread.execute(() -> step(new TrafficEvent.NeighbourAnnounced(announcement)));
+    /** Submits the announcement of a host of another zone for its zone. */
+    public void receiveNeighbourAnnouncement(Announcement announcement) {
+        executor.execute(() -> step(new TrafficEvent.NeighbourAnnounced(announcement)));
     }
 
-    /** Forgets another zone's host. */
-    public void neighbourLost(UpstreamId neighbour) {
-        thread.execute(() -> step(new TrafficEvent.NeighbourLost(neighbour)));
+    /** Removes a host of another zone that has timed out. */
+    public void removeNeighbour(UpstreamId neighbour) {
+        executor.execute(() -> step(new TrafficEvent.NeighbourLost(neighbour)));
     }
 
-    /** Takes the configuration in force. */
-    public void configured(Configuration configuration) {
-        thread.execute(() -> step(new TrafficEvent.Configured(configuration)));
+    /** Applies the active configuration. */
+    public void applyConfiguration(Configuration configuration) {
+        executor.execute(() -> step(new TrafficEvent.Configured(configuration)));
     }
 
-    /** Returns what was asked for since the last call, and what waits. */
+    /** Returns the demand and resets the arrivals. */
     public CompletableFuture<Demand> drainDemand() {
         return CompletableFuture.supplyAsync(
                 () ->
                         new Demand(
-                                director.drainArrivals(),
-                                director.waitingByModel(),
-                                director.waiting(),
-                                director.running()),
-                thread);
+                                trafficScheduler.drainArrivals(),
+                                trafficScheduler.waitingByModel(),
+                                trafficScheduler.waiting(),
+                                trafficScheduler.running()),
+                executor);
     }
 
-    /** Counts requests within this process, from reception to the end of the answer. */
+    /** Returns the counter of requests in this process, from reception to the end of the answer. */
     public AtomicInteger inFlight() {
         return inFlight;
     }
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 
     private void step(TrafficEvent event) {
-        for (TrafficEffect effect : director.step(event, BootClock.nanos())) {
+        for (TrafficEffect effect : trafficScheduler.step(event, BootClock.nanos())) {
             switch (effect) {
                 case TrafficEffect.Dispatch(RequestId id, UpstreamId upstream, String address) ->
-                        decide(id, new Decision.Send(upstream, address));
+                        completeDecision(id, new Decision.Send(upstream, address));
                 case TrafficEffect.Refuse refuse ->
-                        decide(
+                        completeDecision(
                                 refuse.id(),
                                 new Decision.GiveUp(
                                         refuse.refusal(),
@@ -175,10 +189,10 @@
         }
     }
 
-    private void decide(RequestId id, Decision decision) {
-        CompletableFuture<Decision> waiting = awaited.remove(id);
-        if (waiting != null) {
-            waiting.complete(decision);
+    private void completeDecision(RequestId id, Decision decision) {
+        CompletableFuture<Decision> pending = pendingDecisions.remove(id);
+        if (pending != null) {
+            pending.complete(decision);
         }
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/node/UpstreamExchange.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/node/UpstreamExchange.java
@@ -26,8 +26,9 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * What this host knows of the upstreams of the zones it serves: heard from them, or from other
- * hosts of the zone, which pass on what they hear and compare what they hold.
+ * The announcements of the upstreams in the zones that this host serves. Hosts of a zone forward
+ * the announcements that they receive from upstreams, and exchange digests of their tables to find
+ * the ones that they missed.
  */
 public final class UpstreamExchange {
 
@@ -36,26 +37,26 @@
     private final Map<ZoneId, Set<HostId>> peers = new HashMap<>();
     private final List<Listener> listeners = new CopyOnWriteArrayList<>();
 
-    /** Hears what becomes known of upstreams. */
+    /** Is notified of announced and lost upstreams. */
     public interface Listener {
-        /** An upstream has announced itself. */
-        void announced(ZoneId zone, Announcement announcement);
+        /** Called when a new announcement of an upstream was accepted. */
+        void upstreamAnnounced(ZoneId zone, Announcement announcement);
 
-        /** An upstream has been silent for too long. */
-        void lost(ZoneId zone, UpstreamId upstream);
+        /** Called when the announcements of an upstream have timed out. */
+        void upstreamLost(ZoneId zone, UpstreamId upstream);
     }
 
-    /** Creates an exchange for the host's own zone and the zones whose groups it is in. */
+    /** Creates an exchange for the host's own zone and the zones of whose groups it is a member. */
     public UpstreamExchange(Settings settings, PeerTransport transport) {
         this.transport = transport;
         settings.groups()
                 .zones()
                 .forEach(
                         (zone, members) -> {
-                            Set<HostId> concerned = new LinkedHashSet<>(members);
-                            concerned.addAll(settings.hostsIn(zone));
-                            if (concerned.remove(settings.host())) {
-                                peers.put(zone, concerned);
+                            Set<HostId> zoneHosts = new LinkedHashSet<>(members);
+                            zoneHosts.addAll(settings.hostsIn(zone));
+                            if (zoneHosts.remove(settings.host())) {
+                                peers.put(zone, zoneHosts);
                                 Settings.Timing timing = settings.timing();
                                 tables.put(zone, new UpstreamTable(timing.upstreamSilence()));
                             }
@@ -63,93 +64,100 @@
     }
 
     /** Adds a listener. */
-    public void listen(Listener listener) {
+    public void addListener(Listener listener) {
         listeners.add(listener);
     }
 
     /**
-     * Takes an announcement from an upstream itself and passes it on.
+     * Handles an announcement that an upstream sent to this host, and forwards it if it is new.
      *
-     * @return whether its zone is one that this host serves
+     * @return whether this host serves the zone of the upstream
      */
-    public boolean announced(Announcement announcement) {
+    public boolean receiveAnnouncement(Announcement announcement) {
         if (!tables.containsKey(announcement.zone())) {
             return false;
         }
-        if (take(announcement)) {
-            Frame frame = report(announcement);
+        if (accept(announcement)) {
+            Frame frame = reportFrame(announcement);
             peers.get(announcement.zone()).forEach(host -> transport.send(host, frame));
         }
         return true;
     }
 
-    /** Takes an announcement that another host has passed on. */
-    public void received(UpstreamReport report) {
-        take(Json.read(Announcement.class, report.getAnnouncement().toByteArray()));
+    /** Handles an announcement that another host has forwarded. */
+    public void receive(UpstreamReport report) {
+        accept(Json.read(Announcement.class, report.getAnnouncement().toByteArray()));
     }
 
-    /** Answers another host's digest with what is newer here. */
-    public void received(UpstreamDigest digest, Replier replier) {
+    /** Replies to another host's digest with the announcements that are newer here. */
+    public void receive(UpstreamDigest digest, Replier replier) {
         Map<String, UpstreamVersion> theirs = new HashMap<>();
         digest.getVersionsList().forEach(version -> theirs.put(version.getId(), version));
         ZoneId zone = new ZoneId(digest.getZone());
-        for (Announcement mine : all(zone)) {
+        for (Announcement mine : announcements(zone)) {
             UpstreamVersion known = theirs.get(mine.id().value());
-            if (known == null || newer(mine, known)) {
-                replier.send(report(mine));
+            if (known == null || isNewer(mine, known)) {
+                replier.send(reportFrame(mine));
             }
         }
     }
 
-    /** Compares what is held with one other host of each zone; to be called regularly. */
-    public void compare(int turn) {
+    /**
+     * Sends the digest of each zone to one other host of it; called periodically.
+     *
+     * @param round number of the call, by which the hosts are chosen in turn
+     */
+    public void sendDigests(int round) {
         peers.forEach(
                 (zone, hosts) -> {
                     if (!hosts.isEmpty()) {
                         List<HostId> list = List.copyOf(hosts);
-                        transport.send(list.get(turn % list.size()), digest(zone));
+                        transport.send(list.get(round % list.size()), digestFrame(zone));
                     }
                 });
     }
 
-    /** Drops the upstreams that have been silent; to be called regularly. */
+    /** Removes the upstreams whose announcements have timed out; called periodically. */
     public void expire() {
-        List<Lost> lost = new ArrayList<>();
+        List<LostUpstream> lost = new ArrayList<>();
         synchronized (this) {
             tables.forEach(
                     (zone, table) ->
                             table.expire(BootClock.nanos())
-                                    .forEach(upstream -> lost.add(new Lost(zone, upstream))));
+                                    .forEach(
+                                            upstream ->
+                                                    lost.add(new LostUpstream(zone, upstream))));
         }
-        for (Lost item : lost) {
-            listeners.forEach(listener -> listener.lost(item.zone(), item.upstream()));
+        for (LostUpstream item : lost) {
+            listeners.forEach(listener -> listener.upstreamLost(item.zone(), item.upstream()));
         }
     }
 
-    /** Returns the latest announcements of a zone. */
-    public synchronized Collection<Announcement> all(ZoneId zone) {
+    /** Returns the latest announcement of each upstream of a zone. */
+    public synchronized Collection<Announcement> announcements(ZoneId zone) {
         UpstreamTable table = tables.get(zone);
         return table == null ? List.of() : table.all();
     }
 
-    private record Lost(ZoneId zone, UpstreamId upstream) {}
+    private record LostUpstream(ZoneId zone, UpstreamId upstream) {}
 
-    private boolean take(Announcement announcement) {
-        Optional<Announcement> kept;
+    private boolean accept(Announcement announcement) {
+        Optional<Announcement> accepted;
         synchronized (this) {
             UpstreamTable table = tables.get(announcement.zone());
             if (table == null) {
                 return false;
             }
-            kept = table.offer(announcement, BootClock.nanos());
+            accepted = table.offer(announcement, BootClock.nanos());
         }
-        kept.ifPresent(now -> listeners.forEach(listener -> listener.announced(now.zone(), now)));
-        return kept.isPresent();
+        accepted.ifPresent(
+                now -> listeners.forEach(listener -> listener.upstreamAnnounced(now.zone(), now)));
+        return accepted.isPresent();
     }
 
-    private Frame digest(ZoneId zone) {
+    private Frame digestFrame(ZoneId zone) {
         UpstreamDigest.Builder digest = UpstreamDigest.newBuilder().setZone(zone.value());
-        for (Announcement mine : all(zone)) {
+        for (Announcement mine : announcements(zone)) {
             digest.addVersions(
                     UpstreamVersion.newBuilder()
                             .setId(mine.id().value())
@@ -159,14 +167,14 @@
         return Frame.newBuilder().setDigest(digest).build();
     }
 
-    private static boolean newer(Announcement mine, UpstreamVersion theirs) {
+    private static boolean isNewer(Announcement mine, UpstreamVersion theirs) {
         if (mine.incarnation() != theirs.getIncarnation()) {
             return mine.incarnation() > theirs.getIncarnation();
         }
         return mine.sequence() > theirs.getSequence();
     }
 
-    private static Frame report(Announcement announcement) {
+    private static Frame reportFrame(Announcement announcement) {
         byte[] bytes = Json.write(Announcement.class, announcement);
         return Frame.newBuilder()
                 .setUpstream(
