--- a/stackhall-server/src/main/java/io/stackhall/server/callers/AcceptedRequest.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/AcceptedRequest.java
@@ -35,6 +35,6 @@
         long prefix,
         boolean repeatable,
         Optional<IdempotencyKey> key,
-        long deadlineNanos,
+        long timeoutNanos,
         Reach reach,
         Optional<String> authorization) {}
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/AnswerRecorder.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/AnswerRecorder.java
@@ -8,13 +8,13 @@
 public final class AnswerRecorder implements AnswerSink {
 
     /** The largest body that is kept for whoever asks again, in bytes. */
-    public static final int MAX_KEPT_BYTES = 256 << 10;
+    public static final int MAX_STORED_BYTES = 256 << 10;
 
     private final AnswerSink next;
     private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
     private int status;
     private String contentType = "";
-    private boolean fits = true;
+    private boolean complete = true;
     private boolean callerGone;
 
     /** Creates a recorder in front of a sink. */
@@ -24,39 +24,40 @@
 
     /** Returns the answer as far as it was kept. */
     public StoredAnswer answer() {
-        return new StoredAnswer(status, contentType, fits ? kept.toByteArray() : new byte[0], fits);
+        return new StoredAnswer(
+                status, contentType, complete ? kept.toByteArray() : new byte[0], complete);
     }
 
     @Override
     public void begin(int newStatus, String newContentType) {
         status = newStatus;
         contentType = newContentType;
-        pass(() -> next.begin(newStatus, newContentType));
+        forward(() -> next.begin(newStatus, newContentType));
     }
 
     @Override
     public void write(byte[] bytes, int length) {
         keep(bytes, length);
-        pass(() -> next.write(bytes, length));
+        forward(() -> next.write(bytes, length));
     }
 
     @Override
-    public void whole(int newStatus, String newContentType, byte[] body) {
+    public void respond(int newStatus, String newContentType, byte[] body) {
         status = newStatus;
         contentType = newContentType;
         keep(body, body.length);
-        pass(() -> next.whole(newStatus, newContentType, body));
+        forward(() -> next.respond(newStatus, newContentType, body));
     }
 
     private void keep(byte[] bytes, int length) {
-        fits = fits && kept.size() + length <= MAX_KEPT_BYTES;
-        if (fits) {
+        complete = complete && kept.size() + length <= MAX_STORED_BYTES;
+        if (complete) {
             kept.write(bytes, 0, length);
         }
     }
 
     /** A caller that goes does not end a run whose answer is kept. */
-    private void pass(Step step) {
+    private void forward(Step step) {
         if (callerGone) {
             return;
         }
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/AnswerSink.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/AnswerSink.java
@@ -12,10 +12,10 @@
     void write(byte[] bytes, int length) throws IOException;
 
     /** Gives a whole answer at once. */
-    void whole(int status, String contentType, byte[] body) throws IOException;
+    void respond(int status, String contentType, byte[] body) throws IOException;
 
     /** Returns a sink that takes everything and does nothing. */
-    static AnswerSink nowhere() {
+    static AnswerSink discarding() {
         return new AnswerSink() {
             @Override
             public void begin(int status, String contentType) {
@@ -28,7 +28,7 @@
             }
 
             @Override
-            public void whole(int status, String contentType, byte[] body) {
+            public void respond(int status, String contentType, byte[] body) {
                 // Nobody listens.
             }
         };
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/ApiHandler.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/ApiHandler.java
@@ -43,7 +43,7 @@
     private final Authenticator authenticator;
     private final RequestReader reader;
     private final RequestRunner runner;
-    private final WorkDesk work;
+    private final WorkHandler work;
     private final InFlightLimit limit;
     private final BooleanSupplier ready;
 
@@ -53,7 +53,7 @@
             NodeMetrics metrics,
             RequestReader reader,
             RequestRunner runner,
-            WorkDesk work,
+            WorkHandler work,
             InFlightLimit limit,
             BooleanSupplier ready) {
         this.config = config;
@@ -77,14 +77,14 @@
     public boolean handle(Request request, Response response, Callback callback) {
         RequestId id = new RequestId(UUID.randomUUID().toString());
         ResponseSink sink = new ResponseSink(request, response, id);
-        boolean check = isCheck(request);
+        boolean check = isExemptFromLimit(request);
         Optional<Caller> caller = check ? Optional.empty() : authenticator.authenticate(request);
         boolean within = limit.enter(check || isUrgent(caller));
         try {
             if (within || check) {
-                answer(request, caller, sink);
+                dispatch(request, caller, sink);
             } else {
-                refuseCrowd(sink);
+                refuseOverLimit(sink);
             }
             sink.end();
             callback.succeeded();
@@ -93,31 +93,31 @@
             callback.failed(e);
         } catch (RuntimeException e) {
             logger.error("request.failed request={}", id, e);
-            failClearly(sink, response, callback);
+            respondHostFailed(sink, response, callback);
         } finally {
             limit.leave();
         }
         return true;
     }
 
-    private void answer(Request request, Optional<Caller> caller, ResponseSink sink)
+    private void dispatch(Request request, Optional<Caller> caller, ResponseSink sink)
             throws IOException {
-        boolean announces = CallerServer.UPSTREAMS.equals(connectorOf(request));
+        boolean announces = CallerServer.UPSTREAM_CONNECTOR.equals(connectorOf(request));
         if (announces) {
-            announce(request, sink);
+            handleAnnouncement(request, sink);
             return;
         }
         switch (request.getHttpURI().getPath()) {
-            case "/healthz" -> sink.whole(200, PLAIN, bytes("ok\n"));
-            case "/readyz" -> tellReady(sink);
-            case "/metrics" -> sink.whole(200, METRICS, metrics.scrape());
-            default -> api(request, caller, sink);
+            case "/healthz" -> sink.respond(200, PLAIN, bytes("ok\n"));
+            case "/readyz" -> respondReadiness(sink);
+            case "/metrics" -> sink.respond(200, METRICS, metrics.scrape());
+            default -> handleApi(request, caller, sink);
         }
     }
 
     /** The platform and the upstreams are heard however many callers there are. */
-    private static boolean isCheck(Request request) {
-        return CallerServer.UPSTREAMS.equals(connectorOf(request))
+    private static boolean isExemptFromLimit(Request request) {
+        return CallerServer.UPSTREAM_CONNECTOR.equals(connectorOf(request))
                 || CHECKS.contains(request.getHttpURI().getPath());
     }
 
@@ -125,12 +125,12 @@
         return caller.filter(known -> known.priority() == Priority.URGENT).isPresent();
     }
 
-    private static void refuseCrowd(ResponseSink sink) throws IOException {
+    private static void refuseOverLimit(ResponseSink sink) throws IOException {
         String message = "this host works on as many requests as it may";
         sink.refuse(503, "host_full", message, new RequestOutcome.NotRun(message), 1);
     }
 
-    private void api(Request request, Optional<Caller> caller, ResponseSink sink)
+    private void handleApi(Request request, Optional<Caller> caller, ResponseSink sink)
             throws IOException {
         if (caller.isEmpty()) {
             logger.warn("request.unauthenticated request={}", sink.id());
@@ -139,41 +139,42 @@
         }
         String path = request.getHttpURI().getPath();
         if (path.equals("/v1/models")) {
-            sink.json(200, Json.write(ModelList.class, models()));
-        } else if (path.startsWith(WorkDesk.PATH)) {
-            work(request, path.substring(WorkDesk.PATH.length()), caller.get(), sink);
+            sink.respondJson(200, Json.write(ModelList.class, models()));
+        } else if (path.startsWith(WorkHandler.PATH)) {
+            work(request, path.substring(WorkHandler.PATH.length()), caller.get(), sink);
         } else if (path.equals("/v1/chat/completions") || path.equals("/v1/completions")) {
             if (request.getMethod().equals("POST")) {
-                serve(request, caller.get(), sink, true);
+                handleRequest(request, caller.get(), sink, true);
             } else {
                 reject(sink, new RequestReader.Rejection(405, "method", "only POST is served"));
             }
         } else if (path.startsWith("/services/")) {
-            serve(request, caller.get(), sink, false);
+            handleRequest(request, caller.get(), sink, false);
         } else {
             reject(sink, new RequestReader.Rejection(404, "path", "nothing is served at " + path));
         }
     }
 
-    private void serve(Request request, Caller caller, ResponseSink sink, boolean completion)
+    private void handleRequest(
+            Request request, Caller caller, ResponseSink sink, boolean completion)
             throws IOException {
         long start = BootClock.nanos();
         Configuration configuration = config.current();
         Either<RequestReader.Rejection, AcceptedRequest> read =
-                reader.body(request)
+                reader.readBody(request)
                         .flatMap(
                                 body ->
                                         completion
-                                                ? reader.completion(
+                                                ? reader.readCompletion(
                                                         request, caller, body, configuration)
-                                                : reader.service(
+                                                : reader.readServiceCall(
                                                         request, caller, body, configuration));
         if (read.isLeft()) {
             reject(sink, read.getLeft());
             return;
         }
         AcceptedRequest accepted = read.get();
-        Forwarding.idOf(request)
+        Forwarding.forwardedId(request)
                 .ifPresent(of -> logger.info("request.forwarded request={} of={}", sink.id(), of));
         boolean deferred = wantsAsync(request);
         RequestOutcome outcome =
@@ -181,8 +182,8 @@
         long nanos = BootClock.nanos() - start;
         boolean inTime =
                 outcome instanceof RequestOutcome.Ran
-                        && !sink.refused()
-                        && nanos <= accepted.deadlineNanos();
+                        && !sink.isError()
+                        && nanos <= accepted.timeoutNanos();
         metrics.requestEnded(caller.priority(), sink.status(), outcome.header(), inTime, nanos);
         metrics.endedUnder(config.current().deployment().policy().active(), inTime);
         logger.info(
@@ -212,8 +213,8 @@
         }
     }
 
-    private void announce(Request request, ResponseSink sink) throws IOException {
-        Either<RequestReader.Rejection, byte[]> body = reader.body(request);
+    private void handleAnnouncement(Request request, ResponseSink sink) throws IOException {
+        Either<RequestReader.Rejection, byte[]> body = reader.readBody(request);
         if (body.isLeft()) {
             reject(sink, body.getLeft());
             return;
@@ -230,7 +231,7 @@
             String message = announcement.id() + " is a name kept for hosts";
             reject(sink, new RequestReader.Rejection(400, "announcement", message));
         } else if (upstreams.announced(announcement)) {
-            sink.json(200, bytes("{}"));
+            sink.respondJson(200, bytes("{}"));
         } else {
             reject(
                     sink,
@@ -239,9 +240,9 @@
         }
     }
 
-    private void tellReady(ResponseSink sink) throws IOException {
+    private void respondReadiness(ResponseSink sink) throws IOException {
         boolean isReady = ready.getAsBoolean() && config.current().revision() > 0;
-        sink.whole(isReady ? 200 : 503, PLAIN, bytes(isReady ? "ready\n" : "not ready\n"));
+        sink.respond(isReady ? 200 : 503, PLAIN, bytes(isReady ? "ready\n" : "not ready\n"));
     }
 
     private ModelList models() {
@@ -267,7 +268,7 @@
     }
 
     /** A fault of this host's own: whether the request has run is not known. */
-    private static void failClearly(ResponseSink sink, Response response, Callback callback) {
+    private static void respondHostFailed(ResponseSink sink, Response response, Callback callback) {
         RequestOutcome outcome = new RequestOutcome.Unknown("this host has failed");
         try {
             if (response.isCommitted()) {
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/Authenticator.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/Authenticator.java
@@ -19,7 +19,7 @@
 
     private static final CustomerId ANONYMOUS = new CustomerId("anonymous");
     private static final String SCHEME = "Bearer ";
-    static final String PRIORITY = "Stackhall-Priority";
+    static final String PRIORITY_HEADER = "Stackhall-Priority";
 
     private final ConfigStore config;
 
@@ -30,7 +30,7 @@
     /** Returns the caller, or nothing where the key is missing or wrong. */
     Optional<Caller> authenticate(Request request) {
         List<CallerSpec> callers = config.current().deployment().callers();
-        Optional<Priority> asked = askedPriority(request);
+        Optional<Priority> asked = requestedPriority(request);
         if (callers.isEmpty()) {
             return Optional.of(new Caller(ANONYMOUS, asked.orElse(Priority.NORMAL)));
         }
@@ -50,8 +50,8 @@
         return asked.filter(priority -> priority.compareTo(own) > 0).orElse(own);
     }
 
-    private static Optional<Priority> askedPriority(Request request) {
-        String text = request.getHeaders().get(PRIORITY);
+    private static Optional<Priority> requestedPriority(Request request) {
+        String text = request.getHeaders().get(PRIORITY_HEADER);
         if (text == null) {
             return Optional.empty();
         }
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/CallerServer.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/CallerServer.java
@@ -21,9 +21,9 @@
 public final class CallerServer implements AutoCloseable {
 
     /** The name of the listener for upstreams. */
-    static final String UPSTREAMS = "upstreams";
+    static final String UPSTREAM_CONNECTOR = "upstreams";
 
-    private static final String CALLERS = "callers";
+    private static final String CALLER_CONNECTOR = "callers";
     private static final int MAX_HEADER_BYTES = 16 << 10;
     private static final int BUFFER_BYTES = 4096;
 
@@ -57,11 +57,11 @@
                         Thread.ofVirtual().name("request-", 0).factory()));
         server = new Server(threads);
         server.addBean(new NetworkConnectionLimit(MAX_CONNECTIONS, server));
-        server.addConnector(connector(CALLERS, settings.callers()));
-        server.addConnector(connector(UPSTREAMS, settings.upstreams()));
+        server.addConnector(connector(CALLER_CONNECTOR, settings.callers()));
+        server.addConnector(connector(UPSTREAM_CONNECTOR, settings.upstreams()));
         RequestRunner runner =
                 new RequestRunner(
-                        settings, traffic, upstreams, new Claims(settings, groups, process));
+                        settings, traffic, upstreams, new ClaimClient(settings, groups, process));
         workRunner = new WorkRunner(settings, config, groups, runner, process);
         server.setHandler(
                 new ApiHandler(
@@ -70,7 +70,7 @@
                         metrics,
                         new RequestReader(settings.limits()),
                         runner,
-                        new WorkDesk(groups),
+                        new WorkHandler(groups),
                         new InFlightLimit(traffic.inFlight(), settings.limits().maxInFlight()),
                         ready));
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/Claims.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/ClaimClient.java
@@ -17,21 +17,21 @@
 import org.apache.logging.log4j.Logger;
 
 /** Takes and ends claims at the group of the zone that keeps them. */
-final class Claims {
+final class ClaimClient {
 
-    private static final Logger logger = LogManager.getLogger(Claims.class);
+    private static final Logger logger = LogManager.getLogger(ClaimClient.class);
 
     private static final Duration CLAIM_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration END_TIMEOUT = Duration.ofSeconds(10);
 
     private final GroupClient groups;
-    private final ClaimPlacement homes;
+    private final ClaimPlacement placement;
     private final String tokenPrefix;
     private final AtomicLong nextToken = new AtomicLong();
 
-    Claims(Settings settings, GroupClient groups, long process) {
+    ClaimClient(Settings settings, GroupClient groups, long process) {
         this.groups = groups;
-        this.homes = new ClaimPlacement(settings.zones());
+        this.placement = new ClaimPlacement(settings.zones());
         this.tokenPrefix = settings.host() + "/" + Long.toHexString(process) + "/";
     }
 
@@ -58,7 +58,7 @@
     }
 
     private ClaimResult send(ClaimKey key, ClaimCommand command, Duration timeout) {
-        String group = Settings.zoneGroup(homes.zoneOf(key.key()));
+        String group = Settings.zoneGroup(placement.zoneOf(key.key()));
         byte[] bytes = Json.write(ZoneCommand.class, new ZoneCommand.ChangeClaims(command));
         return switch (groups.command(group, bytes, timeout)) {
             case CommandOutcome.Done(byte[] result) -> decode(result);
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/EventStreamTail.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/EventStreamTail.java
@@ -8,17 +8,17 @@
     /** The event that ends a whole stream. */
     static final String END_MARKER = "data: [DONE]";
 
-    private static final int KEPT = 64;
+    private static final int TAIL_CHARACTERS = 64;
 
     private final StringBuilder tail = new StringBuilder();
     private long length;
 
     void add(byte[] bytes, int count) {
         length += count;
-        int from = Math.max(0, count - KEPT);
+        int from = Math.max(0, count - TAIL_CHARACTERS);
         tail.append(new String(bytes, from, count - from, StandardCharsets.ISO_8859_1));
-        if (tail.length() > KEPT) {
-            tail.delete(0, tail.length() - KEPT);
+        if (tail.length() > TAIL_CHARACTERS) {
+            tail.delete(0, tail.length() - TAIL_CHARACTERS);
         }
     }
 
@@ -26,7 +26,7 @@
         return length;
     }
 
-    boolean whole() {
+    boolean isComplete() {
         return tail.toString().stripTrailing().endsWith(END_MARKER);
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/Forwarding.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/Forwarding.java
@@ -27,9 +27,9 @@
         Map<String, String> headers = new HashMap<>();
         headers.put(FORWARDED_BY, by.value());
         String priority = request.caller().priority().name().toLowerCase(Locale.ROOT);
-        headers.put(Authenticator.PRIORITY, priority);
+        headers.put(Authenticator.PRIORITY_HEADER, priority);
         if (!request.repeatable()) {
-            headers.put(RequestReader.REPEATABLE, "false");
+            headers.put(RequestReader.REPEATABLE_HEADER, "false");
         }
         request.authorization()
                 .ifPresent(value -> headers.put(HttpHeader.AUTHORIZATION.asString(), value));
@@ -42,7 +42,7 @@
     }
 
     /** Returns the id that another zone's host gave to a request, by which it knows the answer. */
-    static Optional<String> idOf(Request request) {
+    static Optional<String> forwardedId(Request request) {
         return Optional.ofNullable(request.getHeaders().get(UpstreamCall.REQUEST_ID))
                 .filter(id -> isForwarded(request) && id.matches(ID_PATTERN));
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/InFlightLimit.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/InFlightLimit.java
@@ -8,7 +8,7 @@
  */
 final class InFlightLimit {
 
-    private static final int COMMON_SHARE_PERCENT = 75;
+    private static final int NON_URGENT_SHARE_PERCENT = 75;
 
     private final AtomicInteger inFlight;
     private final int limit;
@@ -24,7 +24,7 @@
      */
     boolean enter(boolean urgent) {
         int count = inFlight.incrementAndGet();
-        return count <= (urgent ? limit : limit * COMMON_SHARE_PERCENT / 100);
+        return count <= (urgent ? limit : limit * NON_URGENT_SHARE_PERCENT / 100);
     }
 
     /** Counts a request out. */
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/OutgoingRequest.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/OutgoingRequest.java
@@ -12,19 +12,19 @@
  * @param request what goes to either
  * @param towardsHosts headers that only another zone's host gets
  */
-record OutgoingRequest(UpstreamRequest request, Map<String, String> towardsHosts) {
+record OutgoingRequest(UpstreamRequest request, Map<String, String> hostHeaders) {
 
     /** Copies the headers. */
     OutgoingRequest {
-        towardsHosts = Map.copyOf(towardsHosts);
+        hostHeaders = Map.copyOf(hostHeaders);
     }
 
     /** Returns the request as it goes to one of them, with the time that is left. */
-    UpstreamRequest towards(UpstreamId upstream, long deadlineMillis) {
+    UpstreamRequest forUpstream(UpstreamId upstream, long deadlineMillis) {
         Map<String, String> headers = new HashMap<>(request.headers());
-        headers.put(RequestReader.DEADLINE, Long.toString(deadlineMillis));
+        headers.put(RequestReader.DEADLINE_HEADER, Long.toString(deadlineMillis));
         if (Neighbours.isNeighbour(upstream)) {
-            headers.putAll(towardsHosts);
+            headers.putAll(hostHeaders);
         }
         return new UpstreamRequest(
                 request.id(),
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/Exchange.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/RequestExecution.java
@@ -19,9 +19,9 @@
  * Takes one request through admission and its attempts to the end of its answer. To be run on a
  * virtual thread: a slow caller holds it, and by that the upstream.
  */
-final class Exchange {
+final class RequestExecution {
 
-    private static final Logger logger = LogManager.getLogger(Exchange.class);
+    private static final Logger logger = LogManager.getLogger(RequestExecution.class);
 
     private static final int BUFFER_BYTES = 8192;
     private static final int SERVER_ERROR = 500;
@@ -42,7 +42,7 @@
      * @param maxAnswerBytes the largest plain answer
      * @param lateAnswer how long past the deadline an attempt that runs is still awaited
      */
-    Exchange(
+    RequestExecution(
             TrafficDriver traffic,
             UpstreamClient upstreams,
             Arrival arrival,
@@ -60,18 +60,18 @@
     }
 
     /** Runs to the end. */
-    ExchangeResult run(AnswerSink sink) {
+    ExecutionResult run(AnswerSink sink) {
         CompletableFuture<TrafficDriver.Decision> decision = traffic.arrive(arrival);
         while (true) {
             switch (await(decision)) {
                 case TrafficDriver.Decision.GiveUp giveUp -> {
-                    return new ExchangeResult.GivenUp(
+                    return new ExecutionResult.Refused(
                             giveUp.refusal(), giveUp.outcome(), giveUp.retryAfterSeconds());
                 }
                 case TrafficDriver.Decision.Send send -> {
                     Attempt attempt = attempt(send, sink);
                     switch (attempt) {
-                        case Attempt.Ended(ExchangeResult result) -> {
+                        case Attempt.Ended(ExecutionResult result) -> {
                             return result;
                         }
                         case Attempt.Failed(AttemptResult ending, RequestOutcome outcome) ->
@@ -85,7 +85,7 @@
     /** How one attempt went. */
     private sealed interface Attempt {
         /** Nothing more is to be tried. */
-        record Ended(ExchangeResult result) implements Attempt {}
+        record Ended(ExecutionResult result) implements Attempt {}
 
         /** Nothing has reached the caller; it may be tried again. */
         record Failed(AttemptResult ending, RequestOutcome outcome) implements Attempt {}
@@ -94,8 +94,8 @@
     private Attempt attempt(TrafficDriver.Decision.Send send, AnswerSink sink) {
         String address = send.address();
         UpstreamCall call =
-                upstreams.call(address, request.towards(send.upstream(), remainingMillis()));
-        return switch (call.open(patienceMillis())) {
+                upstreams.call(address, request.forUpstream(send.upstream(), remainingMillis()));
+        return switch (call.open(openTimeoutMillis())) {
             case UpstreamCall.Opening.NotSent(String reason) ->
                     new Attempt.Failed(AttemptResult.FAILED, new RequestOutcome.NotRun(reason));
             case UpstreamCall.Opening.Declined() ->
@@ -119,7 +119,7 @@
             call.abort("the caller has gone");
             traffic.withdraw(arrival.id());
             RequestOutcome outcome = new RequestOutcome.Unknown("the caller has gone");
-            return new Attempt.Ended(new ExchangeResult.CallerGone(outcome));
+            return new Attempt.Ended(new ExecutionResult.CallerGone(outcome));
         }
     }
 
@@ -136,7 +136,7 @@
         if (body.length > maxAnswerBytes) {
             return broken("the answer is larger than " + maxAnswerBytes + " bytes");
         }
-        toCaller(() -> sink.whole(begun.status(), begun.contentType(), body));
+        toCaller(() -> sink.respond(begun.status(), begun.contentType(), body));
         AttemptResult ending =
                 begun.status() >= SERVER_ERROR ? AttemptResult.FAILED : AttemptResult.SERVED;
         return answered(begun.status(), ending);
@@ -148,13 +148,13 @@
         toCaller(() -> sink.begin(begun.status(), begun.contentType()));
         EventStreamTail tail = new EventStreamTail();
         InputStream body = begun.body();
-        ResumedStream resumed = new ResumedStream(upstreams, address, begun.stream(), arrival.id());
+        StreamResumer resumed = new StreamResumer(upstreams, address, begun.stream(), arrival.id());
         while (true) {
             boolean ended = copy(body, tail, sink);
-            if (ended && tail.whole()) {
+            if (ended && tail.isComplete()) {
                 return answered(begun.status(), AttemptResult.SERVED);
             }
-            InputStream rest = resumed.from(tail.length());
+            InputStream rest = resumed.resumeFrom(tail.length());
             if (rest == null) {
                 call.abort("the stream is broken");
                 return broken("the upstream's stream broke off");
@@ -186,13 +186,13 @@
     private Attempt answered(int status, AttemptResult ending) {
         RequestOutcome outcome = new RequestOutcome.Ran();
         traffic.ended(arrival.id(), ending, outcome);
-        return new Attempt.Ended(new ExchangeResult.Answered(status, outcome));
+        return new Attempt.Ended(new ExecutionResult.Answered(status, outcome));
     }
 
     private Attempt broken(String reason) {
         RequestOutcome outcome = new RequestOutcome.Unknown(reason);
         traffic.ended(arrival.id(), AttemptResult.FAILED, outcome);
-        return new Attempt.Ended(new ExchangeResult.Broken(reason, outcome));
+        return new Attempt.Ended(new ExecutionResult.Incomplete(reason, outcome));
     }
 
     private long remainingMillis() {
@@ -200,7 +200,7 @@
     }
 
     /** What an upstream runs is worth more late than unknown, within a bound. */
-    private long patienceMillis() {
+    private long openTimeoutMillis() {
         return remainingMillis() + lateAnswer.toMillis();
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/RequestReader.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/RequestReader.java
@@ -26,17 +26,17 @@
 /** Reads a caller's request and says what is wrong with it. */
 final class RequestReader {
 
-    private static final String KEY = "Idempotency-Key";
-    static final String REPEATABLE = "Stackhall-Repeatable";
-    static final String DEADLINE = "Stackhall-Deadline-Ms";
+    private static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
+    static final String REPEATABLE_HEADER = "Stackhall-Repeatable";
+    static final String DEADLINE_HEADER = "Stackhall-Deadline-Ms";
     private static final String SERVICES_PREFIX = "/services/";
-    private static final long LONGEST_DEADLINE_MILLIS = TimeUnit.DAYS.toMillis(1);
+    private static final long MAX_TIMEOUT_MILLIS = TimeUnit.DAYS.toMillis(1);
 
     /**
      * How much of a body that is too large is read and dropped: a connection that is closed on
      * unread bytes is reset, and the caller may lose the refusal.
      */
-    private static final long LONGEST_REST_BYTES = 64L << 20;
+    private static final long MAX_DISCARDED_BYTES = 64L << 20;
 
     private final Settings.Limits limits;
 
@@ -48,7 +48,7 @@
     record Rejection(int status, String code, String message) {}
 
     /** Reads the whole body, within its bound. */
-    Either<Rejection, byte[]> body(Request request) {
+    Either<Rejection, byte[]> readBody(Request request) {
         int bound = limits.maxBodyBytes();
         Rejection tooLarge =
                 new Rejection(413, "body_too_large", "the body exceeds " + bound + " bytes");
@@ -58,7 +58,7 @@
             if (request.getLength() <= bound && body.length <= bound) {
                 return Either.right(body);
             }
-            in.skip(LONGEST_REST_BYTES);
+            in.skip(MAX_DISCARDED_BYTES);
             return Either.left(tooLarge);
         } catch (IOException e) {
             return Either.left(new Rejection(400, "body_unreadable", "the body was cut short"));
@@ -66,7 +66,7 @@
     }
 
     /** Understands a request for a model or adapter. */
-    Either<Rejection, AcceptedRequest> completion(
+    Either<Rejection, AcceptedRequest> readCompletion(
             Request request, Caller caller, byte[] body, Configuration configuration) {
         JsonNode json;
         try {
@@ -104,7 +104,7 @@
     }
 
     /** Understands a call of a plain service. */
-    Either<Rejection, AcceptedRequest> service(
+    Either<Rejection, AcceptedRequest> readServiceCall(
             Request request, Caller caller, byte[] body, Configuration configuration) {
         String path = request.getHttpURI().getPathQuery();
         String rest = path.substring(SERVICES_PREFIX.length());
@@ -141,12 +141,14 @@
         Optional<IdempotencyKey> key;
         long deadlineNanos;
         try {
-            key = Optional.ofNullable(request.getHeaders().get(KEY)).map(IdempotencyKey::new);
-            deadlineNanos = deadlineNanos(request, caller.priority());
+            key =
+                    Optional.ofNullable(request.getHeaders().get(IDEMPOTENCY_KEY_HEADER))
+                            .map(IdempotencyKey::new);
+            deadlineNanos = timeoutNanos(request, caller.priority());
         } catch (IllegalArgumentException e) {
             return Either.left(new Rejection(400, "header_malformed", e.getMessage()));
         }
-        boolean marked = "false".equals(request.getHeaders().get(REPEATABLE));
+        boolean marked = "false".equals(request.getHeaders().get(REPEATABLE_HEADER));
         Map<String, String> headers = new HashMap<>();
         String type = request.getHeaders().get(HttpHeader.CONTENT_TYPE);
         if (type != null) {
@@ -169,19 +171,19 @@
                         Optional.ofNullable(request.getHeaders().get(HttpHeader.AUTHORIZATION))));
     }
 
-    private long deadlineNanos(Request request, Priority priority) {
-        String text = request.getHeaders().get(DEADLINE);
+    private long timeoutNanos(Request request, Priority priority) {
+        String text = request.getHeaders().get(DEADLINE_HEADER);
         if (text == null) {
-            return defaultDeadline(priority).toNanos();
+            return defaultTimeout(priority).toNanos();
         }
         if (!text.matches("\\d{1,9}")) {
-            throw new IllegalArgumentException(DEADLINE + " '" + text + "' is no number");
+            throw new IllegalArgumentException(DEADLINE_HEADER + " '" + text + "' is no number");
         }
-        long millis = Math.min(LONGEST_DEADLINE_MILLIS, Long.parseLong(text));
+        long millis = Math.min(MAX_TIMEOUT_MILLIS, Long.parseLong(text));
         return TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
-    private Duration defaultDeadline(Priority priority) {
+    private Duration defaultTimeout(Priority priority) {
         return switch (priority) {
             case URGENT -> limits.urgentDeadline();
             case NORMAL -> limits.normalDeadline();
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/RequestRunner.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/RequestRunner.java
@@ -19,15 +19,18 @@
 /** Runs an accepted request for a caller that waits, with a claim where it has a key. */
 final class RequestRunner {
 
-    private static final int SOON_SECONDS = 1;
+    private static final int RETRY_AFTER_SECONDS = 1;
 
     private final Settings settings;
     private final TrafficDriver traffic;
     private final UpstreamClient upstreams;
-    private final Claims claims;
+    private final ClaimClient claims;
 
     RequestRunner(
-            Settings settings, TrafficDriver traffic, UpstreamClient upstreams, Claims claims) {
+            Settings settings,
+            TrafficDriver traffic,
+            UpstreamClient upstreams,
+            ClaimClient claims) {
         this.settings = settings;
         this.traffic = traffic;
         this.upstreams = upstreams;
@@ -37,7 +40,7 @@
     /** Runs a request and answers it; returns what became of it. */
     RequestOutcome run(AcceptedRequest request, ResponseSink response) throws IOException {
         if (request.key().isEmpty()) {
-            return finish(exchange(request, response.id(), response), response);
+            return finish(execute(request, response.id(), response), response);
         }
         ClaimKey key = new ClaimKey(request.caller().id(), request.key().get());
         AttemptToken token = claims.newToken();
@@ -79,14 +82,14 @@
     }
 
     /** Runs a request without a claim and gives its answer to any sink. */
-    ExchangeResult exchange(AcceptedRequest request, RequestId id, AnswerSink sink) {
+    ExecutionResult execute(AcceptedRequest request, RequestId id, AnswerSink sink) {
         Arrival arrival =
                 new Arrival(
                         id,
                         request.caller().id(),
                         request.target(),
                         request.caller().priority(),
-                        BootClock.nanos() + request.deadlineNanos(),
+                        BootClock.nanos() + request.timeoutNanos(),
                         request.prefix(),
                         request.repeatable(),
                         request.reach());
@@ -98,7 +101,7 @@
                         request.headers(),
                         request.body(),
                         request.repeatable() && request.key().isEmpty());
-        return new Exchange(
+        return new RequestExecution(
                         traffic,
                         upstreams,
                         arrival,
@@ -114,9 +117,9 @@
             AcceptedRequest request, ResponseSink response, ClaimKey key, AttemptToken token)
             throws IOException {
         AnswerRecorder recorder = new AnswerRecorder(response);
-        ExchangeResult result;
+        ExecutionResult result;
         try {
-            result = exchange(request, response.id(), recorder);
+            result = execute(request, response.id(), recorder);
         } catch (RuntimeException e) {
             claims.end(key, new ClaimCommand.Abandon(key, token));
             throw e;
@@ -132,26 +135,26 @@
         return finish(result, response);
     }
 
-    private static RequestOutcome finish(ExchangeResult result, ResponseSink response)
+    private static RequestOutcome finish(ExecutionResult result, ResponseSink response)
             throws IOException {
         switch (result) {
-            case ExchangeResult.Answered ignored -> response.end();
-            case ExchangeResult.CallerGone ignored -> {
+            case ExecutionResult.Answered ignored -> response.end();
+            case ExecutionResult.CallerGone ignored -> {
                 // There is nobody to tell.
             }
-            case ExchangeResult.Broken(String reason, RequestOutcome outcome) -> {
+            case ExecutionResult.Incomplete(String reason, RequestOutcome outcome) -> {
                 if (response.status() == 0) {
                     return refuse(response, 502, "answer_unusable", reason, outcome);
                 }
-                response.breakStream(reason, outcome);
+                response.sendErrorEvent(reason, outcome);
                 response.end();
             }
-            case ExchangeResult.GivenUp givenUp -> giveUp(givenUp, response);
+            case ExecutionResult.Refused givenUp -> refuseUnserved(givenUp, response);
         }
         return result.outcome();
     }
 
-    private static void giveUp(ExchangeResult.GivenUp givenUp, ResponseSink response)
+    private static void refuseUnserved(ExecutionResult.Refused givenUp, ResponseSink response)
             throws IOException {
         int status =
                 switch (givenUp.refusal()) {
@@ -177,9 +180,9 @@
 
     private static RequestOutcome replay(StoredAnswer answer, ResponseSink response)
             throws IOException {
-        response.header("Stackhall-Replayed", "true");
+        response.setHeader("Stackhall-Replayed", "true");
         if (answer.complete()) {
-            response.whole(answer.status(), answer.contentType(), answer.body());
+            response.respond(answer.status(), answer.contentType(), answer.body());
             response.end();
             return new RequestOutcome.Ran();
         }
@@ -194,7 +197,7 @@
     private static RequestOutcome refuse(
             ResponseSink response, int status, String code, String message, RequestOutcome outcome)
             throws IOException {
-        response.refuse(status, code, message, outcome, SOON_SECONDS);
+        response.refuse(status, code, message, outcome, RETRY_AFTER_SECONDS);
         response.end();
         return outcome;
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/ResponseSink.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/ResponseSink.java
@@ -16,7 +16,7 @@
 
     private static final int OK = 200;
     private static final int REDIRECTION = 300;
-    private static final int REFUSAL = 400;
+    private static final int ERROR = 400;
 
     private final Response response;
     private final RequestId id;
@@ -26,7 +26,7 @@
     ResponseSink(Request request, Response response, RequestId id) {
         this.response = response;
         this.id = id;
-        String answered = Forwarding.idOf(request).orElse(id.value());
+        String answered = Forwarding.forwardedId(request).orElse(id.value());
         response.getHeaders().put(UpstreamCall.REQUEST_ID, answered);
         if ("HEAD".equals(request.getMethod())) {
             out = OutputStream.nullOutputStream();
@@ -37,7 +37,7 @@
         return status;
     }
 
-    void header(String name, String value) {
+    void setHeader(String name, String value) {
         response.getHeaders().put(name, value);
     }
 
@@ -56,29 +56,29 @@
     }
 
     @Override
-    public void whole(int newStatus, String contentType, byte[] body) throws IOException {
+    public void respond(int newStatus, String contentType, byte[] body) throws IOException {
         if (newStatus < OK || newStatus >= REDIRECTION) {
-            header(UpstreamCall.OUTCOME, new RequestOutcome.Ran().header());
+            setHeader(UpstreamCall.OUTCOME, new RequestOutcome.Ran().header());
         }
         send(newStatus, contentType, body);
     }
 
     /** Answers with JSON. */
-    void json(int newStatus, byte[] body) throws IOException {
+    void respondJson(int newStatus, byte[] body) throws IOException {
         send(newStatus, "application/json", body);
     }
 
     /** Refuses; every refusal says when to come back. */
     void refuse(int newStatus, String code, String message, RequestOutcome outcome, int retryAfter)
             throws IOException {
-        header(UpstreamCall.OUTCOME, outcome.header());
-        header(HttpHeader.RETRY_AFTER.asString(), Integer.toString(retryAfter));
+        setHeader(UpstreamCall.OUTCOME, outcome.header());
+        setHeader(HttpHeader.RETRY_AFTER.asString(), Integer.toString(retryAfter));
         String type = newStatus < 500 ? "invalid_request_error" : "server_error";
-        json(newStatus, ErrorBody.of(type, code, message, outcome.header()));
+        respondJson(newStatus, ErrorBody.of(type, code, message, outcome.header()));
     }
 
     /** Ends a stream that cannot be completed with an explicit error event, without end marker. */
-    void breakStream(String message, RequestOutcome outcome) throws IOException {
+    void sendErrorEvent(String message, RequestOutcome outcome) throws IOException {
         byte[] error = ErrorBody.of("server_error", "stream_broken", message, outcome.header());
         String event = "\n\ndata: " + new String(error, StandardCharsets.UTF_8) + "\n\n";
         byte[] bytes = event.getBytes(StandardCharsets.UTF_8);
@@ -95,8 +95,8 @@
         return id;
     }
 
-    boolean refused() {
-        return status >= REFUSAL;
+    boolean isError() {
+        return status >= ERROR;
     }
 
     private void send(int newStatus, String contentType, byte[] body) throws IOException {
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/ResumedStream.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/StreamResumer.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /** Asks an engine for the rest of a stream that broke off, at the offset that was reached. */
-final class ResumedStream {
+final class StreamResumer {
 
     private static final int MAX_RESUMES = 3;
     private static final long TIMEOUT_MILLIS = 2000;
@@ -20,7 +20,7 @@
     private final RequestId request;
     private int resumes;
 
-    ResumedStream(UpstreamClient upstreams, String address, String stream, RequestId request) {
+    StreamResumer(UpstreamClient upstreams, String address, String stream, RequestId request) {
         this.upstreams = upstreams;
         this.address = address;
         this.stream = stream;
@@ -28,7 +28,7 @@
     }
 
     /** Returns the rest from an offset in bytes, or null where it cannot be had. */
-    InputStream from(long offset) {
+    InputStream resumeFrom(long offset) {
         if (stream.isEmpty() || resumes >= MAX_RESUMES) {
             return null;
         }
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/WorkCommands.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/WorkClient.java
@@ -11,11 +11,11 @@
 import java.time.Duration;
 
 /** Sends commands on accepted work to the control group. */
-final class WorkCommands {
+final class WorkClient {
 
     private final GroupClient groups;
 
-    WorkCommands(GroupClient groups) {
+    WorkClient(GroupClient groups) {
         this.groups = groups;
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/WorkDesk.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/WorkHandler.java
@@ -22,7 +22,7 @@
 import java.util.Optional;
 
 /** Takes deferred work in, tells how far it is, and withdraws it. */
-final class WorkDesk {
+final class WorkHandler {
 
     /** The path under which accepted work is found. */
     static final String PATH = "/v1/work/";
@@ -31,11 +31,11 @@
     private static final int POLL_SECONDS = 2;
 
     private final GroupClient groups;
-    private final WorkCommands commands;
+    private final WorkClient commands;
 
-    WorkDesk(GroupClient groups) {
+    WorkHandler(GroupClient groups) {
         this.groups = groups;
-        this.commands = new WorkCommands(groups);
+        this.commands = new WorkClient(groups);
     }
 
     /** What is told of accepted work. */
@@ -80,7 +80,7 @@
                         Json.read(ControlState.FoundWork.class, bytes).items().stream()
                                 .filter(found -> found.caller().equals(caller))
                                 .findFirst();
-                tell(name, item, response);
+                respondItem(name, item, response);
             }
             case CommandOutcome.Refused(String reason) ->
                     refuse(response, reason, new RequestOutcome.Unknown(reason));
@@ -94,9 +94,9 @@
         WorkCommand.Cancel cancel = new WorkCommand.Cancel(new WorkId(name), caller);
         switch (commands.send(cancel, TIMEOUT)) {
             case CommandOutcome.Done(byte[] bytes) -> {
-                boolean done = WorkCommands.decode(bytes) instanceof WorkResult.Done;
+                boolean done = WorkClient.decode(bytes) instanceof WorkResult.Done;
                 if (done) {
-                    tellProgress(200, new Progress(name, "cancelled", 0), response);
+                    respondProgress(200, new Progress(name, "cancelled", 0), response);
                 } else {
                     String message = "it is not known, or has begun to run";
                     response.refuse(
@@ -116,17 +116,17 @@
 
     private static RequestOutcome accepted(WorkId id, byte[] bytes, ResponseSink response)
             throws IOException {
-        if (WorkCommands.decode(bytes) instanceof WorkResult.Kept(WorkItem item)) {
-            response.header("Location", PATH + id);
-            response.header("Preference-Applied", "respond-async");
-            tellProgress(202, progress(item), response);
+        if (WorkClient.decode(bytes) instanceof WorkResult.Kept(WorkItem item)) {
+            response.setHeader("Location", PATH + id);
+            response.setHeader("Preference-Applied", "respond-async");
+            respondProgress(202, progress(item), response);
             return new RequestOutcome.NotRun("accepted");
         }
         String reason = "as much work is kept as may be";
         return refuse(response, reason, new RequestOutcome.NotRun(reason));
     }
 
-    private static void tell(String name, Optional<WorkItem> item, ResponseSink response)
+    private static void respondItem(String name, Optional<WorkItem> item, ResponseSink response)
             throws IOException {
         if (item.isEmpty()) {
             response.refuse(
@@ -139,19 +139,19 @@
         }
         if (item.get().answer().isPresent()) {
             StoredAnswer answer = item.get().answer().get();
-            response.whole(answer.status(), answer.contentType(), answer.body());
+            response.respond(answer.status(), answer.contentType(), answer.body());
             return;
         }
         boolean ended = item.get().progress().ended();
         if (!ended) {
-            response.header("Retry-After", Integer.toString(POLL_SECONDS));
+            response.setHeader("Retry-After", Integer.toString(POLL_SECONDS));
         }
-        tellProgress(ended ? 200 : 202, progress(item.get()), response);
+        respondProgress(ended ? 200 : 202, progress(item.get()), response);
     }
 
-    private static void tellProgress(int status, Progress progress, ResponseSink response)
+    private static void respondProgress(int status, Progress progress, ResponseSink response)
             throws IOException {
-        response.json(status, Json.write(Progress.class, progress));
+        response.respondJson(status, Json.write(Progress.class, progress));
     }
 
     private static Progress progress(WorkItem item) {
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/WorkRunner.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/WorkRunner.java
@@ -34,7 +34,7 @@
 
     private static final Logger logger = LogManager.getLogger(WorkRunner.class);
 
-    private static final int PARALLEL = 2;
+    private static final int PARALLEL_RUNS = 2;
     private static final long IDLE_MILLIS = 500;
     private static final Duration TAKE_TIMEOUT = Duration.ofSeconds(3);
     private static final Duration END_TIMEOUT = Duration.ofMinutes(2);
@@ -42,7 +42,7 @@
 
     private final Settings settings;
     private final ConfigStore config;
-    private final WorkCommands commands;
+    private final WorkClient commands;
     private final RequestRunner runner;
     private final String tokenPrefix;
     private final AtomicLong nextToken = new AtomicLong();
@@ -56,14 +56,14 @@
             long process) {
         this.settings = settings;
         this.config = config;
-        this.commands = new WorkCommands(groups);
+        this.commands = new WorkClient(groups);
         this.runner = runner;
         this.tokenPrefix = settings.host() + "/" + Long.toHexString(process) + "/w";
     }
 
     /** Starts to take work. */
     public void start() {
-        for (int at = 0; at < PARALLEL; at++) {
+        for (int at = 0; at < PARALLEL_RUNS; at++) {
             Thread.ofVirtual().name("work-" + at).start(this::loop);
         }
     }
@@ -94,7 +94,7 @@
         CommandOutcome taken = commands.send(new WorkCommand.Take(token), TAKE_TIMEOUT);
         return switch (taken) {
             case CommandOutcome.Done(byte[] bytes) -> {
-                if (WorkCommands.decode(bytes) instanceof WorkResult.Taken(WorkItem item)) {
+                if (WorkClient.decode(bytes) instanceof WorkResult.Taken(WorkItem item)) {
                     run(item, token);
                     yield true;
                 }
@@ -102,17 +102,17 @@
             }
             case CommandOutcome.Refused ignored -> false;
             case CommandOutcome.Unknown ignored -> {
-                giveBackWhateverWasTaken(token);
+                recoverLostTake(token);
                 yield false;
             }
         };
     }
 
     /** A take whose answer is lost may hold work: asking again with its token tells. */
-    private void giveBackWhateverWasTaken(AttemptToken token) {
+    private void recoverLostTake(AttemptToken token) {
         CommandOutcome again = commands.send(new WorkCommand.Take(token), END_TIMEOUT);
         if (again instanceof CommandOutcome.Done(byte[] bytes)
-                && WorkCommands.decode(bytes) instanceof WorkResult.Taken(WorkItem item)) {
+                && WorkClient.decode(bytes) instanceof WorkResult.Taken(WorkItem item)) {
             run(item, token);
         }
     }
@@ -140,9 +140,9 @@
                         settings.limits().deferredDeadline().toNanos(),
                         Reach.ALL_ZONES,
                         Optional.empty());
-        AnswerRecorder recorder = new AnswerRecorder(AnswerSink.nowhere());
+        AnswerRecorder recorder = new AnswerRecorder(AnswerSink.discarding());
         RequestId id = new RequestId("work-" + item.id() + "-" + item.attempts());
-        ExchangeResult result = runner.exchange(request, id, recorder);
+        ExecutionResult result = runner.execute(request, id, recorder);
         logger.info("work.ran id={} outcome={}", item.id(), result.outcome().header());
         end(
                 switch (result.outcome()) {
