--- a/stackhall-server/src/main/java/io/stackhall/server/callers/AcceptedRequest.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/AcceptedRequest.java
@@ -7,22 +7,22 @@
 import java.util.Optional;
 
 /**
- * A caller's request once it is understood.
+ * A caller's request that has been parsed and validated.
  *
- * @param caller whose it is
- * @param target what it is for
- * @param method the HTTP method towards the upstream
- * @param path the path towards the upstream
- * @param headers headers to pass on
+ * @param caller the customer and the priority of the request
+ * @param target the model or service that it is for
+ * @param method the HTTP method of the request to the upstream
+ * @param path the path and query of the request to the upstream
+ * @param headers headers to forward
  * @param body the body
- * @param streamed whether the answer is to be a stream of events
- * @param prefix digest of its prompt's beginning, or 0
+ * @param streamed whether the answer is a stream of events
+ * @param prefix digest of its prompt's prefix, or 0
  * @param repeatable whether it may run more than once
- * @param key the caller's name for it
- * @param deadlineNanos how long its answer is of use
- * @param reach how far it may be sent
- * @param authorization the caller's credentials, for another zone's host; empty for deferred work,
- *     which keeps none
+ * @param key the caller's idempotency key
+ * @param timeoutNanos the time within which its answer is useful, in nanoseconds
+ * @param reach whether it may be sent to other zones
+ * @param authorization the caller's credentials, for a host of another zone; empty for deferred
+ *     work, which is stored without credentials
  */
 record AcceptedRequest(
         Caller caller,
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/AnswerRecorder.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/AnswerRecorder.java
@@ -4,28 +4,31 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 
-/** Keeps a copy of an answer on its way to another sink, up to a bound. */
+/**
+ * Forwards an answer to another sink and records a copy of limited size. Failures of the other sink
+ * are not reported: recording goes on after the caller has disconnected.
+ */
 public final class AnswerRecorder implements AnswerSink {
 
-    /** The largest body that is kept for whoever asks again, in bytes. */
+    /** The largest body that is stored for repetitions of a request, in bytes. */
     public static final int MAX_STORED_BYTES = 256 << 10;
 
     private final AnswerSink next;
-    private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream recorded = new ByteArrayOutputStream();
     private int status;
     private String contentType = "";
     private boolean complete = true;
     private boolean callerGone;
 
-    /** Creates a recorder in front of a sink. */
+    /** Creates a recorder that forwards to a sink. */
     public AnswerRecorder(AnswerSink next) {
         this.next = next;
     }
 
-    /** Returns the answer as far as it was kept. */
+    /** Returns the recorded answer, with an empty body if it was larger than the limit. */
     public StoredAnswer answer() {
         return new StoredAnswer(
-                status, contentType, complete ? kept.toByteArray() : new byte[0], complete);
+                status, contentType, complete ? recorded.toByteArray() : new byte[0], complete);
     }
 
     @Override
@@ -37,7 +40,7 @@
 
     @Override
     public void write(byte[] bytes, int length) {
-        keep(bytes, length);
+        record(bytes, length);
         forward(() -> next.write(bytes, length));
     }
 
@@ -45,32 +48,32 @@
     public void respond(int newStatus, String newContentType, byte[] body) {
         status = newStatus;
         contentType = newContentType;
-        keep(body, body.length);
+        record(body, body.length);
         forward(() -> next.respond(newStatus, newContentType, body));
     }
 
-    private void keep(byte[] bytes, int length) {
-        complete = complete && kept.size() + length <= MAX_STORED_BYTES;
+    private void record(byte[] bytes, int length) {
+        complete = complete && recorded.size() + length <= MAX_STORED_BYTES;
         if (complete) {
-            kept.write(bytes, 0, length);
+            recorded.write(bytes, 0, length);
         }
     }
 
-    /** A caller that goes does not end a run whose answer is kept. */
-    private void forward(Step step) {
+    /** A caller that disconnects does not stop a run whose answer is stored. */
+    private void forward(CallerWrite write) {
         if (callerGone) {
             return;
         }
         try {
-            step.run();
+            write.run();
         } catch (IOException e) {
             callerGone = true;
         }
     }
 
-    /** A step towards the caller. */
+    /** Writes to the caller. */
     @FunctionalInterface
-    private interface Step {
+    private interface CallerWrite {
         void run() throws IOException;
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/AnswerSink.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/AnswerSink.java
@@ -2,34 +2,34 @@
 
 import java.io.IOException;
 
-/** Where an answer goes as it comes. Every method throws if the caller has gone. */
+/** Receives an answer as it arrives. Every method throws if the caller has disconnected. */
 public interface AnswerSink {
 
-    /** Begins an answer that comes in pieces. */
+    /** Begins an answer that is written in several parts. */
     void begin(int status, String contentType) throws IOException;
 
-    /** Passes on a piece; it returns once the caller can take more. */
+    /** Writes a part of the answer; blocks until the caller can receive more. */
     void write(byte[] bytes, int length) throws IOException;
 
-    /** Gives a whole answer at once. */
+    /** Writes a complete answer. */
     void respond(int status, String contentType, byte[] body) throws IOException;
 
-    /** Returns a sink that takes everything and does nothing. */
+    /** Returns a sink that discards the answer. */
     static AnswerSink discarding() {
         return new AnswerSink() {
             @Override
             public void begin(int status, String contentType) {
-                // Nobody listens.
+                // Discarded.
             }
 
             @Override
             public void write(byte[] bytes, int length) {
-                // Nobody listens.
+                // Discarded.
             }
 
             @Override
             public void respond(int status, String contentType, byte[] body) {
-                // Nobody listens.
+                // Discarded.
             }
         };
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/ApiHandler.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/ApiHandler.java
@@ -27,7 +27,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Answers callers, upstreams that announce themselves, and the platform's checks. */
+/** Handles requests of callers, announcements of upstreams, and the platform's health checks. */
 final class ApiHandler extends Handler.Abstract {
 
     private static final Logger logger = LogManager.getLogger(ApiHandler.class);
@@ -35,7 +35,7 @@
     private static final String PLAIN = "text/plain; charset=utf-8";
     private static final String METRICS = "text/plain; version=0.0.4; charset=utf-8";
 
-    private static final Set<String> CHECKS = Set.of("/healthz", "/readyz", "/metrics");
+    private static final Set<String> CHECK_PATHS = Set.of("/healthz", "/readyz", "/metrics");
 
     private final ConfigStore config;
     private final UpstreamExchange upstreams;
@@ -43,7 +43,7 @@
     private final Authenticator authenticator;
     private final RequestReader reader;
     private final RequestRunner runner;
-    private final WorkHandler work;
+    private final WorkHandler workHandler;
     private final InFlightLimit limit;
     private final BooleanSupplier ready;
 
@@ -53,7 +53,7 @@
             NodeMetrics metrics,
             RequestReader reader,
             RequestRunner runner,
-            WorkHandler work,
+            WorkHandler workHandler,
             InFlightLimit limit,
             BooleanSupplier ready) {
         this.config = config;
@@ -62,7 +62,7 @@
         this.authenticator = new Authenticator(config);
         this.reader = reader;
         this.runner = runner;
-        this.work = work;
+        this.workHandler = workHandler;
         this.limit = limit;
         this.ready = ready;
     }
@@ -77,11 +77,11 @@
     public boolean handle(Request request, Response response, Callback callback) {
         RequestId id = new RequestId(UUID.randomUUID().toString());
         ResponseSink sink = new ResponseSink(request, response, id);
-        boolean check = isExemptFromLimit(request);
-        Optional<Caller> caller = check ? Optional.empty() : authenticator.authenticate(request);
-        boolean within = limit.enter(check || isUrgent(caller));
+        boolean exempt = isExemptFromLimit(request);
+        Optional<Caller> caller = exempt ? Optional.empty() : authenticator.authenticate(request);
+        boolean withinLimit = limit.enter(exempt || isUrgent(caller));
         try {
-            if (within || check) {
+            if (withinLimit || exempt) {
                 dispatch(request, caller, sink);
             } else {
                 refuseOverLimit(sink);
@@ -115,10 +115,13 @@
         }
     }
 
-    /** The platform and the upstreams are heard however many callers there are. */
+    /**
+     * Health checks and announcements are served beyond the limit, so that a crowd of callers
+     * cannot make this host or its upstreams appear unavailable.
+     */
     private static boolean isExemptFromLimit(Request request) {
         return CallerServer.UPSTREAM_CONNECTOR.equals(connectorOf(request))
-                || CHECKS.contains(request.getHttpURI().getPath());
+                || CHECK_PATHS.contains(request.getHttpURI().getPath());
     }
 
     private static boolean isUrgent(Optional<Caller> caller) {
@@ -141,7 +144,7 @@
         if (path.equals("/v1/models")) {
             sink.respondJson(200, Json.write(ModelList.class, models()));
         } else if (path.startsWith(WorkHandler.PATH)) {
-            work(request, path.substring(WorkHandler.PATH.length()), caller.get(), sink);
+            handleWork(request, path.substring(WorkHandler.PATH.length()), caller.get(), sink);
         } else if (path.equals("/v1/chat/completions") || path.equals("/v1/completions")) {
             if (request.getMethod().equals("POST")) {
                 handleRequest(request, caller.get(), sink, true);
@@ -178,7 +181,7 @@
                 .ifPresent(of -> logger.info("request.forwarded request={} of={}", sink.id(), of));
         boolean deferred = wantsAsync(request);
         RequestOutcome outcome =
-                deferred ? work.accept(accepted, sink) : runner.run(accepted, sink);
+                deferred ? workHandler.accept(accepted, sink) : runner.run(accepted, sink);
         long nanos = BootClock.nanos() - start;
         boolean inTime =
                 outcome instanceof RequestOutcome.Ran
@@ -196,15 +199,15 @@
                 nanos / 1_000_000);
     }
 
-    private void work(Request request, String name, Caller caller, ResponseSink sink)
+    private void handleWork(Request request, String name, Caller caller, ResponseSink sink)
             throws IOException {
         if (!name.matches("[0-9a-f]{32}")) {
             reject(sink, new RequestReader.Rejection(404, "work_not_found", "no such work"));
             return;
         }
         switch (request.getMethod()) {
-            case "GET" -> work.find(name, caller.id(), sink);
-            case "DELETE" -> work.cancel(name, caller.id(), sink);
+            case "GET" -> workHandler.find(name, caller.id(), sink);
+            case "DELETE" -> workHandler.cancel(name, caller.id(), sink);
             default ->
                     reject(
                             sink,
@@ -267,12 +270,14 @@
                 1);
     }
 
-    /** A fault of this host's own: whether the request has run is not known. */
+    /**
+     * Answers after an internal error of this host; it is not known whether the request has run.
+     */
     private static void respondHostFailed(ResponseSink sink, Response response, Callback callback) {
         RequestOutcome outcome = new RequestOutcome.Unknown("this host has failed");
         try {
             if (response.isCommitted()) {
-                throw new IOException("the answer has begun");
+                throw new IOException("the response has already been committed");
             }
             sink.refuse(500, "host_failed", "this host has failed", outcome, 1);
             sink.end();
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/Authenticator.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/Authenticator.java
@@ -12,8 +12,8 @@
 import org.eclipse.jetty.server.Request;
 
 /**
- * Tells callers apart by their keys. Where the deployment names no callers, everybody is one
- * anonymous caller.
+ * Identifies callers by their API keys. If the deployment lists no callers, all requests belong to
+ * one anonymous caller.
  */
 final class Authenticator {
 
@@ -27,12 +27,12 @@
         this.config = config;
     }
 
-    /** Returns the caller, or nothing where the key is missing or wrong. */
+    /** Returns the caller, or empty if the key is missing or unknown. */
     Optional<Caller> authenticate(Request request) {
         List<CallerSpec> callers = config.current().deployment().callers();
-        Optional<Priority> asked = requestedPriority(request);
+        Optional<Priority> requested = requestedPriority(request);
         if (callers.isEmpty()) {
-            return Optional.of(new Caller(ANONYMOUS, asked.orElse(Priority.NORMAL)));
+            return Optional.of(new Caller(ANONYMOUS, requested.orElse(Priority.NORMAL)));
         }
         String header = request.getHeaders().get(HttpHeader.AUTHORIZATION);
         if (header == null || !header.startsWith(SCHEME)) {
@@ -42,12 +42,12 @@
         return callers.stream()
                 .filter(caller -> KeyDigest.parse(caller.keyHash()).equals(key))
                 .findFirst()
-                .map(spec -> new Caller(spec.id(), lower(spec.priority(), asked)));
+                .map(spec -> new Caller(spec.id(), lower(spec.priority(), requested)));
     }
 
-    /** A caller may ask for less urgency than it has, never for more. */
-    private static Priority lower(Priority own, Optional<Priority> asked) {
-        return asked.filter(priority -> priority.compareTo(own) > 0).orElse(own);
+    /** A caller may request a lower priority than its own, never a higher one. */
+    private static Priority lower(Priority own, Optional<Priority> requested) {
+        return requested.filter(priority -> priority.compareTo(own) > 0).orElse(own);
     }
 
     private static Optional<Priority> requestedPriority(Request request) {
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/Caller.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/Caller.java
@@ -4,9 +4,9 @@
 import io.stackhall.core.id.CustomerId;
 
 /**
- * Who asks, and how urgent it is.
+ * The customer that sent a request, and the priority of the request.
  *
- * @param id the caller
+ * @param id the customer
  * @param priority the priority of the request
  */
 record Caller(CustomerId id, Priority priority) {}
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/CallerServer.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/CallerServer.java
@@ -17,17 +17,17 @@
 import org.eclipse.jetty.server.ServerConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** The HTTP server: one listener for callers, one for upstreams. */
+/** The HTTP server, with one connector for callers and one for upstreams. */
 public final class CallerServer implements AutoCloseable {
 
-    /** The name of the listener for upstreams. */
+    /** The name of the connector for upstreams. */
     static final String UPSTREAM_CONNECTOR = "upstreams";
 
     private static final String CALLER_CONNECTOR = "callers";
     private static final int MAX_HEADER_BYTES = 16 << 10;
     private static final int BUFFER_BYTES = 4096;
 
-    /** Each connection would keep 34 KiB for it. */
+    /** Disables the header cache, which would take 34 KiB for each connection. */
     private static final int NO_HEADER_CACHE = 0;
 
     private static final int MAX_CONNECTIONS = 4096;
@@ -38,7 +38,7 @@
     private final Server server;
     private final WorkRunner workRunner;
 
-    /** Creates a server that does not listen yet. */
+    /** Creates a server that is not listening yet. */
     public CallerServer(
             Settings settings,
             ConfigStore config,
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts to listen, and to run deferred work.
      *
      * @throws IllegalStateException if an address cannot be bound
      */
@@ -89,7 +89,7 @@
         workRunner.start();
     }
 
-    /** Takes no more deferred work. */
+    /** Stops taking deferred work; work that is running continues. */
     public void stopTakingWork() {
         workRunner.close();
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/ClaimClient.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/ClaimClient.java
@@ -16,7 +16,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Takes and ends claims at the group of the zone that keeps them. */
+/** Acquires and ends claims of idempotency keys at the group of the zone that holds them. */
 final class ClaimClient {
 
     private static final Logger logger = LogManager.getLogger(ClaimClient.class);
@@ -35,17 +35,20 @@
         this.tokenPrefix = settings.host() + "/" + Long.toHexString(process) + "/";
     }
 
-    /** Returns a token that no other attempt has. */
+    /** Returns a token that is unique among all attempts of all processes. */
     AttemptToken newToken() {
         return new AttemptToken(tokenPrefix + nextToken.incrementAndGet());
     }
 
-    /** Asks for the right to run a request; uncertain where the keeping group does not answer. */
+    /**
+     * Claims the right to run a request. The result is uncertain if the group that holds the claim
+     * does not confirm the command.
+     */
     ClaimResult claim(ClaimKey key, AttemptToken token, String fingerprint) {
         return send(key, new ClaimCommand.Claim(key, token, fingerprint), CLAIM_TIMEOUT);
     }
 
-    /** Ends a claim by a command that names it. */
+    /** Ends a claim by a command; a failure is only logged. */
     void end(ClaimKey key, ClaimCommand command) {
         ClaimResult result = send(key, command, END_TIMEOUT);
         if (!(result instanceof ClaimResult.Done)) {
@@ -73,7 +76,7 @@
         return switch (Json.read(ZoneResult.class, bytes)) {
             case ZoneResult.ClaimsChanged(ClaimResult result) -> result;
             case ZoneResult.OrdersChanged ignored ->
-                    throw new IllegalStateException("a claim was answered as an order");
+                    throw new IllegalStateException("claim command returned OrdersChanged");
         };
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/Digests.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/Digests.java
@@ -6,13 +6,14 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** Digests of requests. */
+/** Computes digests of requests. */
 final class Digests {
 
     private static final int PREFIX_CHARACTERS = 256;
 
     private Digests() {}
 
+    /** Returns the SHA-256 of several parts, each preceded by its length. */
     static byte[] sha256(byte[]... parts) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
@@ -26,15 +27,15 @@
         }
     }
 
-    static byte[] sha256(byte[] whole) {
+    static byte[] sha256(byte[] bytes) {
         try {
-            return MessageDigest.getInstance("SHA-256").digest(whole);
+            return MessageDigest.getInstance("SHA-256").digest(bytes);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every JDK has SHA-256", e);
         }
     }
 
-    /** Returns a digest by which two requests are told apart. */
+    /** Returns a digest that detects whether a key is reused for a different request. */
     static String fingerprint(String method, String path, byte[] body) {
         byte[] digest =
                 sha256(
@@ -44,10 +45,10 @@
         return HexFormat.of().formatHex(digest, 0, 16);
     }
 
-    /** Returns a digest of the beginning of a prompt, never 0. */
+    /** Returns a digest of the first 256 characters of a prompt, never 0. */
     static long prefix(String prompt) {
-        String beginning = prompt.substring(0, Math.min(PREFIX_CHARACTERS, prompt.length()));
-        byte[] digest = sha256(beginning.getBytes(StandardCharsets.UTF_8));
+        String prefix = prompt.substring(0, Math.min(PREFIX_CHARACTERS, prompt.length()));
+        byte[] digest = sha256(prefix.getBytes(StandardCharsets.UTF_8));
         return ByteBuffer.wrap(digest).getLong() | 1L;
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/ErrorBody.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/ErrorBody.java
@@ -3,13 +3,13 @@
 import io.stackhall.server.json.Json;
 
 /**
- * An error in the shape of the OpenAI API.
+ * An error body in the format of the OpenAI API.
  *
- * @param error what is wrong
+ * @param error the description of the error
  */
 record ErrorBody(Detail error) {
 
-    /** What is wrong. */
+    /** The description of an error; {@code outcome} tells whether the request has run. */
     record Detail(String message, String type, String code, String outcome) {}
 
     static byte[] of(String type, String code, String message, String outcome) {
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/EventStreamTail.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/EventStreamTail.java
@@ -2,10 +2,10 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Watches a stream of events go by: how long it is, and whether it ends with its end marker. */
+/** Tracks the length of an event stream, and whether it has ended with the end marker. */
 final class EventStreamTail {
 
-    /** The event that ends a whole stream. */
+    /** The event that ends a complete stream. */
     static final String END_MARKER = "data: [DONE]";
 
     private static final int TAIL_CHARACTERS = 64;
@@ -22,10 +22,12 @@
         }
     }
 
+    /** Returns the number of bytes added so far. */
     long length() {
         return length;
     }
 
+    /** Returns whether the last event is the end marker. */
     boolean isComplete() {
         return tail.toString().stripTrailing().endsWith(END_MARKER);
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/Forwarding.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/Forwarding.java
@@ -11,8 +11,9 @@
 import org.eclipse.jetty.server.Request;
 
 /**
- * How a request is passed on to a host of another zone: as the caller's own request, with a header
- * that keeps it in that zone. Its idempotency key stays behind, since its claim is held already.
+ * Defines how a request is forwarded to a host of another zone: as the caller's own request, with a
+ * header that prevents that host from forwarding it again. The idempotency key is not forwarded,
+ * since the forwarding host already holds the claim.
  */
 final class Forwarding {
 
@@ -22,10 +23,10 @@
 
     private Forwarding() {}
 
-    /** Returns the headers towards another zone's host, beside those towards any upstream. */
-    static Map<String, String> headers(HostId by, AcceptedRequest request) {
+    /** Returns the headers that only another zone's host receives. */
+    static Map<String, String> headers(HostId forwardingHost, AcceptedRequest request) {
         Map<String, String> headers = new HashMap<>();
-        headers.put(FORWARDED_BY, by.value());
+        headers.put(FORWARDED_BY, forwardingHost.value());
         String priority = request.caller().priority().name().toLowerCase(Locale.ROOT);
         headers.put(Authenticator.PRIORITY_HEADER, priority);
         if (!request.repeatable()) {
@@ -36,12 +37,15 @@
         return headers;
     }
 
-    /** Returns how far a request that came here may go. */
+    /** Returns to which zones a received request may be sent. */
     static Reach reachOf(Request request) {
         return isForwarded(request) ? Reach.ZONE : Reach.ALL_ZONES;
     }
 
-    /** Returns the id that another zone's host gave to a request, by which it knows the answer. */
+    /**
+     * Returns the id that the forwarding host of another zone gave to a request; that host expects
+     * it in the answer.
+     */
     static Optional<String> forwardedId(Request request) {
         return Optional.ofNullable(request.getHeaders().get(UpstreamCall.REQUEST_ID))
                 .filter(id -> isForwarded(request) && id.matches(ID_PATTERN));
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/InFlightLimit.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/InFlightLimit.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Bounds the requests that a process works on at once, so that no crowd of callers exhausts its
- * memory. What comes beyond the bound is refused before anything of it is read.
+ * Limits the number of requests in flight in this process, so that a crowd of callers cannot
+ * exhaust its memory. Requests beyond the limit are refused before their body is read.
  */
 final class InFlightLimit {
 
@@ -19,15 +19,15 @@
     }
 
     /**
-     * Counts a request in, and tells whether it is within the bound; it must be counted out. A
-     * share of the bound is kept for urgent requests.
+     * Counts a request and returns whether it is within the limit. {@link #leave} must follow in
+     * either case. A quarter of the limit is reserved for urgent requests.
      */
     boolean enter(boolean urgent) {
         int count = inFlight.incrementAndGet();
         return count <= (urgent ? limit : limit * NON_URGENT_SHARE_PERCENT / 100);
     }
 
-    /** Counts a request out. */
+    /** Removes a request from the count. */
     void leave() {
         inFlight.decrementAndGet();
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/OutgoingRequest.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/OutgoingRequest.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 
 /**
- * A request on its way out, to an upstream of this zone or to a host of another.
+ * A request to be sent to an upstream of this zone or to a host of another zone.
  *
- * @param request what goes to either
- * @param towardsHosts headers that only another zone's host gets
+ * @param request the request without its deadline
+ * @param hostHeaders headers that only a host of another zone receives
  */
 record OutgoingRequest(UpstreamRequest request, Map<String, String> hostHeaders) {
 
@@ -19,7 +19,11 @@
         hostHeaders = Map.copyOf(hostHeaders);
     }
 
-    /** Returns the request as it goes to one of them, with the time that is left. */
+    /**
+     * Returns the request as it is sent to an upstream or to another zone's host.
+     *
+     * @param deadlineMillis the time that remains until the deadline
+     */
     UpstreamRequest forUpstream(UpstreamId upstream, long deadlineMillis) {
         Map<String, String> headers = new HashMap<>(request.headers());
         headers.put(RequestReader.DEADLINE_HEADER, Long.toString(deadlineMillis));
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/RequestExecution.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/RequestExecution.java
@@ -16,8 +16,9 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Takes one request through admission and its attempts to the end of its answer. To be run on a
- * virtual thread: a slow caller holds it, and by that the upstream.
+ * Executes one request: waits for its admission, sends it to upstreams until an attempt succeeds or
+ * the request is refused, and forwards the answer. Must run on a virtual thread: writes to a slow
+ * caller block it, which also applies back pressure to the upstream.
  */
 final class RequestExecution {
 
@@ -36,11 +37,11 @@
     private final Duration lateAnswer;
 
     /**
-     * Creates an exchange.
+     * Creates the execution of a request.
      *
      * @param streamed whether the answer is a stream of events with an end marker
-     * @param maxAnswerBytes the largest plain answer
-     * @param lateAnswer how long past the deadline an attempt that runs is still awaited
+     * @param maxAnswerBytes the largest answer that is not streamed, in bytes
+     * @param lateAnswer how long past the deadline to wait for the answer of a running attempt
      */
     RequestExecution(
             TrafficDriver traffic,
@@ -59,7 +60,7 @@
         this.lateAnswer = lateAnswer;
     }
 
-    /** Runs to the end. */
+    /** Blocks until the request has ended, and returns how it ended. */
     ExecutionResult run(AnswerSink sink) {
         CompletableFuture<TrafficDriver.Decision> decision = traffic.arrive(arrival);
         while (true) {
@@ -74,21 +75,21 @@
                         case Attempt.Ended(ExecutionResult result) -> {
                             return result;
                         }
-                        case Attempt.Failed(AttemptResult ending, RequestOutcome outcome) ->
-                                decision = traffic.failed(arrival.id(), ending, outcome);
+                        case Attempt.Failed(AttemptResult attemptResult, RequestOutcome outcome) ->
+                                decision = traffic.failed(arrival.id(), attemptResult, outcome);
                     }
                 }
             }
         }
     }
 
-    /** How one attempt went. */
+    /** The result of one attempt. */
     private sealed interface Attempt {
-        /** Nothing more is to be tried. */
+        /** The request has ended; there is no further attempt. */
         record Ended(ExecutionResult result) implements Attempt {}
 
-        /** Nothing has reached the caller; it may be tried again. */
-        record Failed(AttemptResult ending, RequestOutcome outcome) implements Attempt {}
+        /** Nothing has been sent to the caller, so that the request may be tried again. */
+        record Failed(AttemptResult attemptResult, RequestOutcome outcome) implements Attempt {}
     }
 
     private Attempt attempt(TrafficDriver.Decision.Send send, AnswerSink sink) {
@@ -112,9 +113,9 @@
 
     private Attempt deliver(
             UpstreamCall call, String address, UpstreamCall.Opening.Begun begun, AnswerSink sink) {
-        boolean events = streamed && begun.contentType().startsWith("text/event-stream");
+        boolean eventStream = streamed && begun.contentType().startsWith("text/event-stream");
         try {
-            return events ? stream(call, address, begun, sink) : plain(begun, sink);
+            return eventStream ? stream(call, address, begun, sink) : plain(begun, sink);
         } catch (CallerGoneException e) {
             call.abort("the caller has gone");
             traffic.withdraw(arrival.id());
@@ -123,7 +124,7 @@
         }
     }
 
-    /** Reads a plain answer whole before any of it is passed on. */
+    /** Reads an answer completely before forwarding any of it, so that a failure can be retried. */
     private Attempt plain(UpstreamCall.Opening.Begun begun, AnswerSink sink)
             throws CallerGoneException {
         byte[] body;
@@ -134,12 +135,12 @@
             return new Attempt.Failed(AttemptResult.FAILED, new RequestOutcome.Unknown(reason));
         }
         if (body.length > maxAnswerBytes) {
-            return broken("the answer is larger than " + maxAnswerBytes + " bytes");
+            return incomplete("the answer is larger than " + maxAnswerBytes + " bytes");
         }
         toCaller(() -> sink.respond(begun.status(), begun.contentType(), body));
-        AttemptResult ending =
+        AttemptResult attemptResult =
                 begun.status() >= SERVER_ERROR ? AttemptResult.FAILED : AttemptResult.SERVED;
-        return answered(begun.status(), ending);
+        return answered(begun.status(), attemptResult);
     }
 
     private Attempt stream(
@@ -148,22 +149,22 @@
         toCaller(() -> sink.begin(begun.status(), begun.contentType()));
         EventStreamTail tail = new EventStreamTail();
         InputStream body = begun.body();
-        StreamResumer resumed = new StreamResumer(upstreams, address, begun.stream(), arrival.id());
+        StreamResumer resumer = new StreamResumer(upstreams, address, begun.stream(), arrival.id());
         while (true) {
             boolean ended = copy(body, tail, sink);
             if (ended && tail.isComplete()) {
                 return answered(begun.status(), AttemptResult.SERVED);
             }
-            InputStream rest = resumed.resumeFrom(tail.length());
+            InputStream rest = resumer.resumeFrom(tail.length());
             if (rest == null) {
                 call.abort("the stream is broken");
-                return broken("the upstream's stream broke off");
+                return incomplete("the upstream's stream broke off");
             }
             body = rest;
         }
     }
 
-    /** Copies until the end or a failure of the upstream, and tells which. */
+    /** Copies the stream; returns true at its end, or false if reading from the upstream failed. */
     private static boolean copy(InputStream body, EventStreamTail tail, AnswerSink sink)
             throws CallerGoneException {
         byte[] buffer = new byte[BUFFER_BYTES];
@@ -183,13 +184,13 @@
         }
     }
 
-    private Attempt answered(int status, AttemptResult ending) {
+    private Attempt answered(int status, AttemptResult attemptResult) {
         RequestOutcome outcome = new RequestOutcome.Ran();
-        traffic.ended(arrival.id(), ending, outcome);
+        traffic.ended(arrival.id(), attemptResult, outcome);
         return new Attempt.Ended(new ExecutionResult.Answered(status, outcome));
     }
 
-    private Attempt broken(String reason) {
+    private Attempt incomplete(String reason) {
         RequestOutcome outcome = new RequestOutcome.Unknown(reason);
         traffic.ended(arrival.id(), AttemptResult.FAILED, outcome);
         return new Attempt.Ended(new ExecutionResult.Incomplete(reason, outcome));
@@ -199,7 +200,10 @@
         return Math.max(1, (arrival.deadline() - BootClock.nanos()) / NANOS_PER_MILLI);
     }
 
-    /** What an upstream runs is worth more late than unknown, within a bound. */
+    /**
+     * Waits past the deadline for a limited time: for a request that an upstream runs, a late
+     * answer is better than an unknown outcome.
+     */
     private long openTimeoutMillis() {
         return remainingMillis() + lateAnswer.toMillis();
     }
@@ -216,21 +220,21 @@
         }
     }
 
-    private static void toCaller(CallerStep step) throws CallerGoneException {
+    private static void toCaller(CallerWrite write) throws CallerGoneException {
         try {
-            step.run();
+            write.run();
         } catch (IOException e) {
             throw new CallerGoneException(e);
         }
     }
 
-    /** A step towards the caller. */
+    /** Writes to the caller. */
     @FunctionalInterface
-    private interface CallerStep {
+    private interface CallerWrite {
         void run() throws IOException;
     }
 
-    /** The caller cannot be reached any more. */
+    /** The caller has disconnected. */
     private static final class CallerGoneException extends Exception {
         private static final long serialVersionUID = 1L;
 
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/RequestReader.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/RequestReader.java
@@ -23,7 +23,7 @@
 import org.eclipse.jetty.io.Content;
 import org.eclipse.jetty.server.Request;
 
-/** Reads a caller's request and says what is wrong with it. */
+/** Parses and validates requests of callers. */
 final class RequestReader {
 
     private static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
@@ -33,8 +33,8 @@
     private static final long MAX_TIMEOUT_MILLIS = TimeUnit.DAYS.toMillis(1);
 
     /**
-     * How much of a body that is too large is read and dropped: a connection that is closed on
-     * unread bytes is reset, and the caller may lose the refusal.
+     * How much of a body that is too large is read and discarded. Closing a connection with unread
+     * bytes resets it, and the caller may lose the refusal.
      */
     private static final long MAX_DISCARDED_BYTES = 64L << 20;
 
@@ -44,18 +44,18 @@
         this.limits = limits;
     }
 
-    /** Why a request is not accepted. */
+    /** The answer to a request that is not accepted. */
     record Rejection(int status, String code, String message) {}
 
-    /** Reads the whole body, within its bound. */
+    /** Reads the body, up to the configured limit. */
     Either<Rejection, byte[]> readBody(Request request) {
-        int bound = limits.maxBodyBytes();
+        int limit = limits.maxBodyBytes();
         Rejection tooLarge =
-                new Rejection(413, "body_too_large", "the body exceeds " + bound + " bytes");
+                new Rejection(413, "body_too_large", "the body exceeds " + limit + " bytes");
         try {
             InputStream in = Content.Source.asInputStream(request);
-            byte[] body = request.getLength() > bound ? new byte[0] : in.readNBytes(bound + 1);
-            if (request.getLength() <= bound && body.length <= bound) {
+            byte[] body = request.getLength() > limit ? new byte[0] : in.readNBytes(limit + 1);
+            if (request.getLength() <= limit && body.length <= limit) {
                 return Either.right(body);
             }
             in.skip(MAX_DISCARDED_BYTES);
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Understands a request for a model or adapter. */
+    /** Reads a request for a model or adapter. */
     Either<Rejection, AcceptedRequest> readCompletion(
             Request request, Caller caller, byte[] body, Configuration configuration) {
         JsonNode json;
@@ -103,7 +103,7 @@
                 repeatable.get());
     }
 
-    /** Understands a call of a plain service. */
+    /** Reads a request for a service. */
     Either<Rejection, AcceptedRequest> readServiceCall(
             Request request, Caller caller, byte[] body, Configuration configuration) {
         String path = request.getHttpURI().getPathQuery();
@@ -148,7 +148,7 @@
         } catch (IllegalArgumentException e) {
             return Either.left(new Rejection(400, "header_malformed", e.getMessage()));
         }
-        boolean marked = "false".equals(request.getHeaders().get(REPEATABLE_HEADER));
+        boolean markedNotRepeatable = "false".equals(request.getHeaders().get(REPEATABLE_HEADER));
         Map<String, String> headers = new HashMap<>();
         String type = request.getHeaders().get(HttpHeader.CONTENT_TYPE);
         if (type != null) {
@@ -164,7 +164,7 @@
                         body,
                         streamed,
                         prefix,
-                        repeatable && !marked,
+                        repeatable && !markedNotRepeatable,
                         key,
                         deadlineNanos,
                         Forwarding.reachOf(request),
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/RequestRunner.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/RequestRunner.java
@@ -16,7 +16,7 @@
 import java.io.IOException;
 import java.util.Locale;
 
-/** Runs an accepted request for a caller that waits, with a claim where it has a key. */
+/** Runs an accepted request for a waiting caller, under a claim if it has an idempotency key. */
 final class RequestRunner {
 
     private static final int RETRY_AFTER_SECONDS = 1;
@@ -37,7 +37,7 @@
         this.claims = claims;
     }
 
-    /** Runs a request and answers it; returns what became of it. */
+    /** Runs a request and answers it; returns whether it has run. */
     RequestOutcome run(AcceptedRequest request, ResponseSink response) throws IOException {
         if (request.key().isEmpty()) {
             return finish(execute(request, response.id(), response), response);
@@ -76,12 +76,14 @@
                             "claims_full",
                             "no further request with a key can be kept now",
                             new RequestOutcome.NotRun("claims are full"));
-            case ClaimResult.Done() -> throw new IllegalStateException("a claim was not answered");
-            case ClaimResult.Stale() -> throw new IllegalStateException("a new claim was stale");
+            case ClaimResult.Done() ->
+                    throw new IllegalStateException("claim command returned Done");
+            case ClaimResult.Stale() ->
+                    throw new IllegalStateException("claim command returned Stale");
         };
     }
 
-    /** Runs a request without a claim and gives its answer to any sink. */
+    /** Runs a request without a claim and writes its answer to a sink. */
     ExecutionResult execute(AcceptedRequest request, RequestId id, AnswerSink sink) {
         Arrival arrival =
                 new Arrival(
@@ -93,7 +95,7 @@
                         request.prefix(),
                         request.repeatable(),
                         request.reach());
-        UpstreamRequest towards =
+        UpstreamRequest upstreamRequest =
                 new UpstreamRequest(
                         id,
                         request.method(),
@@ -105,14 +107,15 @@
                         traffic,
                         upstreams,
                         arrival,
-                        new OutgoingRequest(towards, Forwarding.headers(settings.host(), request)),
+                        new OutgoingRequest(
+                                upstreamRequest, Forwarding.headers(settings.host(), request)),
                         request.streamed(),
                         settings.limits().maxAnswerBytes(),
                         settings.timing().lateAnswer())
                 .run(sink);
     }
 
-    /** A claimed request runs to its end though its caller goes, and its answer is kept. */
+    /** Runs a claimed request to its end even if its caller disconnects, and stores the answer. */
     private RequestOutcome runClaimed(
             AcceptedRequest request, ResponseSink response, ClaimKey key, AttemptToken token)
             throws IOException {
@@ -140,7 +143,7 @@
         switch (result) {
             case ExecutionResult.Answered ignored -> response.end();
             case ExecutionResult.CallerGone ignored -> {
-                // There is nobody to tell.
+                // Nothing can be answered any more.
             }
             case ExecutionResult.Incomplete(String reason, RequestOutcome outcome) -> {
                 if (response.status() == 0) {
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/ResponseSink.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/ResponseSink.java
@@ -11,7 +11,7 @@
 import org.eclipse.jetty.server.Request;
 import org.eclipse.jetty.server.Response;
 
-/** Writes an answer, or a refusal, to a caller's response. */
+/** Writes an answer or an error to a caller's HTTP response. */
 final class ResponseSink implements AnswerSink {
 
     private static final int OK = 200;
@@ -26,13 +26,14 @@
     ResponseSink(Request request, Response response, RequestId id) {
         this.response = response;
         this.id = id;
-        String answered = Forwarding.forwardedId(request).orElse(id.value());
-        response.getHeaders().put(UpstreamCall.REQUEST_ID, answered);
+        String answeredId = Forwarding.forwardedId(request).orElse(id.value());
+        response.getHeaders().put(UpstreamCall.REQUEST_ID, answeredId);
         if ("HEAD".equals(request.getMethod())) {
             out = OutputStream.nullOutputStream();
         }
     }
 
+    /** Returns the HTTP status, or 0 if no answer has begun. */
     int status() {
         return status;
     }
@@ -68,7 +69,11 @@
         send(newStatus, "application/json", body);
     }
 
-    /** Refuses; every refusal says when to come back. */
+    /**
+     * Answers with an error and the time after which to retry.
+     *
+     * @param retryAfter the time after which to retry, in seconds
+     */
     void refuse(int newStatus, String code, String message, RequestOutcome outcome, int retryAfter)
             throws IOException {
         setHeader(UpstreamCall.OUTCOME, outcome.header());
@@ -77,7 +82,7 @@
         respondJson(newStatus, ErrorBody.of(type, code, message, outcome.header()));
     }
 
-    /** Ends a stream that cannot be completed with an explicit error event, without end marker. */
+    /** Ends a stream that cannot be completed by an error event, without the end marker. */
     void sendErrorEvent(String message, RequestOutcome outcome) throws IOException {
         byte[] error = ErrorBody.of("server_error", "stream_broken", message, outcome.header());
         String event = "\n\ndata: " + new String(error, StandardCharsets.UTF_8) + "\n\n";
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/StreamResumer.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/StreamResumer.java
@@ -7,7 +7,7 @@
 import java.io.InputStream;
 import java.util.Map;
 
-/** Asks an engine for the rest of a stream that broke off, at the offset that was reached. */
+/** Requests the rest of an interrupted event stream from the upstream that produced it. */
 final class StreamResumer {
 
     private static final int MAX_RESUMES = 3;
@@ -27,7 +27,7 @@
         this.request = request;
     }
 
-    /** Returns the rest from an offset in bytes, or null where it cannot be had. */
+    /** Returns the stream from an offset in bytes, or null if it cannot be resumed. */
     InputStream resumeFrom(long offset) {
         if (stream.isEmpty() || resumes >= MAX_RESUMES) {
             return null;
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/WorkClient.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/WorkClient.java
@@ -10,7 +10,7 @@
 import io.stackhall.server.settings.Settings;
 import java.time.Duration;
 
-/** Sends commands on accepted work to the control group. */
+/** Sends commands about deferred work to the control group. */
 final class WorkClient {
 
     private final GroupClient groups;
@@ -19,16 +19,18 @@
         this.groups = groups;
     }
 
+    /** Sends a command; the outcome holds the encoded result. */
     CommandOutcome send(WorkCommand command, Duration timeout) {
         byte[] bytes = Json.write(ControlCommand.class, new ControlCommand.ChangeWork(command));
         return groups.command(Settings.CONTROL_GROUP, bytes, timeout);
     }
 
+    /** Decodes the result of a command. */
     static WorkResult decode(byte[] bytes) {
         return switch (Json.read(ControlResult.class, bytes)) {
             case ControlResult.WorkChanged(WorkResult result) -> result;
             case ControlResult.ConfigurationChanged ignored ->
-                    throw new IllegalStateException("work was answered as a configuration");
+                    throw new IllegalStateException("work command returned ConfigurationChanged");
         };
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/WorkHandler.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/WorkHandler.java
@@ -21,27 +21,27 @@
 import java.util.HexFormat;
 import java.util.Optional;
 
-/** Takes deferred work in, tells how far it is, and withdraws it. */
+/** Accepts deferred work, reports its progress and answer, and cancels it. */
 final class WorkHandler {
 
-    /** The path under which accepted work is found. */
+    /** The path prefix of accepted work. */
     static final String PATH = "/v1/work/";
 
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
     private static final int POLL_SECONDS = 2;
 
     private final GroupClient groups;
-    private final WorkClient commands;
+    private final WorkClient client;
 
     WorkHandler(GroupClient groups) {
         this.groups = groups;
-        this.commands = new WorkClient(groups);
+        this.client = new WorkClient(groups);
     }
 
-    /** What is told of accepted work. */
+    /** The progress of accepted work, as it is written to the caller. */
     record Progress(String id, String status, int attempts) {}
 
-    /** Accepts work: the answer is 202 only once a quorum of disks holds it. */
+    /** Accepts work. The answer is 202 only after a quorum of hosts has written it to disk. */
     RequestOutcome accept(AcceptedRequest request, ResponseSink response) throws IOException {
         WorkId id = workId(request, response);
         Priority priority = request.caller().priority();
@@ -52,7 +52,7 @@
                         priority == Priority.NORMAL ? Priority.DEFERRED : priority,
                         new WorkItem.Request(request.path(), request.body()),
                         request.repeatable());
-        CommandOutcome outcome = commands.send(accept, TIMEOUT);
+        CommandOutcome outcome = client.send(accept, TIMEOUT);
         return switch (outcome) {
             case CommandOutcome.Done(byte[] bytes) -> accepted(id, bytes, response);
             case CommandOutcome.Refused(String reason) ->
@@ -70,11 +70,10 @@
         };
     }
 
-    /** Tells how far a piece of work is, or gives its answer. */
+    /** Answers with the progress of a work item, or with its stored answer. */
     void find(String name, CustomerId caller, ResponseSink response) throws IOException {
-        byte[] question =
-                Json.write(ControlQuery.class, new ControlQuery.FindWork(new WorkId(name)));
-        switch (groups.query(Settings.CONTROL_GROUP, question, TIMEOUT)) {
+        byte[] query = Json.write(ControlQuery.class, new ControlQuery.FindWork(new WorkId(name)));
+        switch (groups.query(Settings.CONTROL_GROUP, query, TIMEOUT)) {
             case CommandOutcome.Done(byte[] bytes) -> {
                 Optional<WorkItem> item =
                         Json.read(ControlState.FoundWork.class, bytes).items().stream()
@@ -89,10 +88,10 @@
         }
     }
 
-    /** Withdraws a piece of work that has not begun to run. */
+    /** Cancels a work item that has not started to run. */
     void cancel(String name, CustomerId caller, ResponseSink response) throws IOException {
         WorkCommand.Cancel cancel = new WorkCommand.Cancel(new WorkId(name), caller);
-        switch (commands.send(cancel, TIMEOUT)) {
+        switch (client.send(cancel, TIMEOUT)) {
             case CommandOutcome.Done(byte[] bytes) -> {
                 boolean done = WorkClient.decode(bytes) instanceof WorkResult.Done;
                 if (done) {
@@ -172,7 +171,9 @@
         return outcome;
     }
 
-    /** The same key of the same caller always names the same work. */
+    /**
+     * Derives the id from the caller and its key, so that a repeated request finds the same work.
+     */
     private static WorkId workId(AcceptedRequest request, ResponseSink response) {
         String name = request.key().map(IdempotencyKey::value).orElse(response.id().value());
         byte[] digest =
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/WorkRunner.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/WorkRunner.java
@@ -27,8 +27,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Takes accepted work and runs it: a few pieces at once on each entry host, behind everything that
- * somebody waits for.
+ * Runs deferred work: a few items at a time on each entry host, behind all requests with a waiting
+ * caller unless an urgent caller has sent the work.
  */
 public final class WorkRunner implements AutoCloseable {
 
@@ -42,7 +42,7 @@
 
     private final Settings settings;
     private final ConfigStore config;
-    private final WorkClient commands;
+    private final WorkClient client;
     private final RequestRunner runner;
     private final String tokenPrefix;
     private final AtomicLong nextToken = new AtomicLong();
@@ -56,19 +56,19 @@
             long process) {
         this.settings = settings;
         this.config = config;
-        this.commands = new WorkClient(groups);
+        this.client = new WorkClient(groups);
         this.runner = runner;
         this.tokenPrefix = settings.host() + "/" + Long.toHexString(process) + "/w";
     }
 
-    /** Starts to take work. */
+    /** Starts the threads that take and run work. */
     public void start() {
-        for (int at = 0; at < PARALLEL_RUNS; at++) {
-            Thread.ofVirtual().name("work-" + at).start(this::loop);
+        for (int index = 0; index < PARALLEL_RUNS; index++) {
+            Thread.ofVirtual().name("work-" + index).start(this::loop);
         }
     }
 
-    /** Takes no more work; what runs goes on to its end. */
+    /** Stops taking work; work that is running continues to its end. */
     @Override
     public void close() {
         closed = true;
@@ -91,7 +91,7 @@
 
     private boolean takeAndRun() {
         AttemptToken token = new AttemptToken(tokenPrefix + nextToken.incrementAndGet());
-        CommandOutcome taken = commands.send(new WorkCommand.Take(token), TAKE_TIMEOUT);
+        CommandOutcome taken = client.send(new WorkCommand.Take(token), TAKE_TIMEOUT);
         return switch (taken) {
             case CommandOutcome.Done(byte[] bytes) -> {
                 if (WorkClient.decode(bytes) instanceof WorkResult.Taken(WorkItem item)) {
@@ -108,9 +108,12 @@
         };
     }
 
-    /** A take whose answer is lost may hold work: asking again with its token tells. */
+    /**
+     * Runs the work that a take command with an unknown outcome may have assigned. Repeating the
+     * command with the same token returns that work.
+     */
     private void recoverLostTake(AttemptToken token) {
-        CommandOutcome again = commands.send(new WorkCommand.Take(token), END_TIMEOUT);
+        CommandOutcome again = client.send(new WorkCommand.Take(token), END_TIMEOUT);
         if (again instanceof CommandOutcome.Done(byte[] bytes)
                 && WorkClient.decode(bytes) instanceof WorkResult.Taken(WorkItem item)) {
             run(item, token);
@@ -154,7 +157,7 @@
     }
 
     private void end(WorkCommand command) {
-        CommandOutcome outcome = commands.send(command, END_TIMEOUT);
+        CommandOutcome outcome = client.send(command, END_TIMEOUT);
         if (!(outcome instanceof CommandOutcome.Done)) {
             logger.warn(
                     "work.not-ended command={} {}", command.getClass().getSimpleName(), outcome);
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/package-info.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/package-info.java
@@ -1,2 +1,2 @@
-/** The HTTP interface towards callers and the upstreams' announcements. */
+/** The HTTP interface for callers and for announcements of upstreams. */
 package io.stackhall.server.callers;
