--- a/stackhall-server/src/main/java/io/stackhall/server/callers/ApiHandler.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/ApiHandler.java
@@ -27,7 +27,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Answers callers, upstreams that announce themselves, and the platform's checks. */
+/** Handles requests of callers, announcements of upstreams, and the platform's health checks. */
 final class ApiHandler extends Handler.Abstract {
 
     private static final Logger logger = LogManager.getLogger(ApiHandler.class);
@@ -35,7 +35,7 @@
     private static final String PLAIN = "text/plain; charset=utf-8";
     private static final String METRICS = "text/plain; version=0.0.4; charset=utf-8";
 
-    private static final Set<String> CHECKS = Set.of("/healthz", "/readyz", "/metrics");
+    private static final Set<String> CHECK_PATHS = Set.of("/healthz", "/readyz", "/metrics");
 
     private final ConfigStore config;
     private final UpstreamExchange upstreams;
@@ -43,7 +43,7 @@
     private final Authenticator authenticator;
     private final RequestReader reader;
     private final RequestRunner runner;
-    private final WorkDesk work;
+    private final WorkHandler workHandler;
     private final InFlightLimit limit;
     private final BooleanSupplier ready;
 
@@ -53,7 +53,7 @@
             NodeMetrics metrics,
             RequestReader reader,
             RequestRunner runner,
-            WorkDesk work,
+            WorkHandler workHandler,
             InFlightLimit limit,
             BooleanSupplier ready) {
         this.config = config;
@@ -62,7 +62,7 @@
         this.authenticator = new Authenticator(config);
         this.reader = reader;
         this.runner = runner;
-        this.work = work;
+        this.workHandler = workHandler;
         this.limit = limit;
         this.ready = ready;
     }
@@ -77,14 +77,14 @@
     public boolean handle(Request request, Response response, Callback callback) {
         RequestId id = new RequestId(UUID.randomUUID().toString());
         ResponseSink sink = new ResponseSink(request, response, id);
-        boolean check = isCheck(request);
-        Optional<Caller> caller = check ? Optional.empty() : authenticator.authenticate(request);
-        boolean within = limit.enter(check || isUrgent(caller));
+        boolean exempt = isExemptFromLimit(request);
+        Optional<Caller> caller = exempt ? Optional.empty() : authenticator.authenticate(request);
+        boolean withinLimit = limit.enter(exempt || isUrgent(caller));
         try {
-            if (within || check) {
-                answer(request, caller, sink);
+            if (withinLimit || exempt) {
+                dispatch(request, caller, sink);
             } else {
-                refuseCrowd(sink);
+                refuseOverLimit(sink);
             }
             sink.end();
             callback.succeeded();
@@ -93,44 +93,47 @@
             callback.failed(e);
         } catch (RuntimeException e) {
             logger.error("request.failed request={}", id, e);
-            failClearly(sink, response, callback);
+            respondHostFailed(sink, response, callback);
         } finally {
             limit.leave();
         }
         return true;
     }
 
-    private void answer(Request request, Optional<Caller> caller, ResponseSink sink)
+    private void dispatch(Request request, Optional<Caller> caller, ResponseSink sink)
             throws IOException {
-        boolean announces = CallerServer.UPSTREAMS.equals(connectorOf(request));
+        boolean announces = CallerServer.UPSTREAM_CONNECTOR.equals(connectorOf(request));
         if (announces) {
-            announce(request, sink);
+            handleAnnouncement(request, sink);
             return;
         }
         switch (request.getHttpURI().getPath()) {
-            case "/healthz" -> sink.whole(200, PLAIN, bytes("ok\n"));
-            case "/readyz" -> tellReady(sink);
-            case "/metrics" -> sink.whole(200, METRICS, metrics.scrape());
-            default -> api(request, caller, sink);
+            case "/healthz" -> sink.respond(200, PLAIN, bytes("ok\n"));
+            case "/readyz" -> respondReadiness(sink);
+            case "/metrics" -> sink.respond(200, METRICS, metrics.scrape());
+            default -> handleApi(request, caller, sink);
         }
     }
 
-    /** The platform and the upstreams are heard however many callers there are. */
-    private static boolean isCheck(Request request) {
-        return CallerServer.UPSTREAMS.equals(connectorOf(request))
-                || CHECKS.contains(request.getHttpURI().getPath());
+    /**
+     * Health checks and announcements are served beyond the limit, so that a crowd of callers
+     * cannot make this host or its upstreams appear unavailable.
+     */
+    private static boolean isExemptFromLimit(Request request) {
+        return CallerServer.UPSTREAM_CONNECTOR.equals(connectorOf(request))
+                || CHECK_PATHS.contains(request.getHttpURI().getPath());
     }
 
     private static boolean isUrgent(Optional<Caller> caller) {
         return caller.filter(known -> known.priority() == Priority.URGENT).isPresent();
     }
 
-    private static void refuseCrowd(ResponseSink sink) throws IOException {
+    private static void refuseOverLimit(ResponseSink sink) throws IOException {
         String message = "this host works on as many requests as it may";
         sink.refuse(503, "host_full", message, new RequestOutcome.NotRun(message), 1);
     }
 
-    private void api(Request request, Optional<Caller> caller, ResponseSink sink)
+    private void handleApi(Request request, Optional<Caller> caller, ResponseSink sink)
             throws IOException {
         if (caller.isEmpty()) {
             logger.warn("request.unauthenticated request={}", sink.id());
@@ -139,50 +142,51 @@
         }
         String path = request.getHttpURI().getPath();
         if (path.equals("/v1/models")) {
-            sink.json(200, Json.write(ModelList.class, models()));
-        } else if (path.startsWith(WorkDesk.PATH)) {
-            work(request, path.substring(WorkDesk.PATH.length()), caller.get(), sink);
+            sink.respondJson(200, Json.write(ModelList.class, models()));
+        } else if (path.startsWith(WorkHandler.PATH)) {
+            handleWork(request, path.substring(WorkHandler.PATH.length()), caller.get(), sink);
         } else if (path.equals("/v1/chat/completions") || path.equals("/v1/completions")) {
             if (request.getMethod().equals("POST")) {
-                serve(request, caller.get(), sink, true);
+                handleRequest(request, caller.get(), sink, true);
             } else {
                 reject(sink, new RequestReader.Rejection(405, "method", "only POST is served"));
             }
         } else if (path.startsWith("/services/")) {
-            serve(request, caller.get(), sink, false);
+            handleRequest(request, caller.get(), sink, false);
         } else {
             reject(sink, new RequestReader.Rejection(404, "path", "nothing is served at " + path));
         }
     }
 
-    private void serve(Request request, Caller caller, ResponseSink sink, boolean completion)
+    private void handleRequest(
+            Request request, Caller caller, ResponseSink sink, boolean completion)
             throws IOException {
         long start = BootClock.nanos();
         Configuration configuration = config.current();
         Either<RequestReader.Rejection, AcceptedRequest> read =
-                reader.body(request)
+                reader.readBody(request)
                         .flatMap(
                                 body ->
                                         completion
-                                                ? reader.completion(
+                                                ? reader.readCompletion(
                                                         request, caller, body, configuration)
-                                                : reader.service(
+                                                : reader.readServiceCall(
                                                         request, caller, body, configuration));
         if (read.isLeft()) {
             reject(sink, read.getLeft());
             return;
         }
         AcceptedRequest accepted = read.get();
-        Forwarding.idOf(request)
+        Forwarding.forwardedId(request)
                 .ifPresent(of -> logger.info("request.forwarded request={} of={}", sink.id(), of));
         boolean deferred = wantsAsync(request);
         RequestOutcome outcome =
-                deferred ? work.accept(accepted, sink) : runner.run(accepted, sink);
+                deferred ? workHandler.accept(accepted, sink) : runner.run(accepted, sink);
         long nanos = BootClock.nanos() - start;
         boolean inTime =
                 outcome instanceof RequestOutcome.Ran
-                        && !sink.refused()
-                        && nanos <= accepted.deadlineNanos();
+                        && !sink.isError()
+                        && nanos <= accepted.timeoutNanos();
         metrics.requestEnded(caller.priority(), sink.status(), outcome.header(), inTime, nanos);
         metrics.endedUnder(config.current().deployment().policy().active(), inTime);
         logger.info(
@@ -195,15 +199,15 @@
                 nanos / 1_000_000);
     }
 
-    private void work(Request request, String name, Caller caller, ResponseSink sink)
+    private void handleWork(Request request, String name, Caller caller, ResponseSink sink)
             throws IOException {
         if (!name.matches("[0-9a-f]{32}")) {
             reject(sink, new RequestReader.Rejection(404, "work_not_found", "no such work"));
             return;
         }
         switch (request.getMethod()) {
-            case "GET" -> work.find(name, caller.id(), sink);
-            case "DELETE" -> work.cancel(name, caller.id(), sink);
+            case "GET" -> workHandler.find(name, caller.id(), sink);
+            case "DELETE" -> workHandler.cancel(name, caller.id(), sink);
             default ->
                     reject(
                             sink,
@@ -212,8 +216,8 @@
         }
     }
 
-    private void announce(Request request, ResponseSink sink) throws IOException {
-        Either<RequestReader.Rejection, byte[]> body = reader.body(request);
+    private void handleAnnouncement(Request request, ResponseSink sink) throws IOException {
+        Either<RequestReader.Rejection, byte[]> body = reader.readBody(request);
         if (body.isLeft()) {
             reject(sink, body.getLeft());
             return;
@@ -230,7 +234,7 @@
             String message = announcement.id() + " is a name kept for hosts";
             reject(sink, new RequestReader.Rejection(400, "announcement", message));
         } else if (upstreams.receiveAnnouncement(announcement)) {
-            sink.json(200, bytes("{}"));
+            sink.respondJson(200, bytes("{}"));
         } else {
             reject(
                     sink,
@@ -239,9 +243,9 @@
         }
     }
 
-    private void tellReady(ResponseSink sink) throws IOException {
+    private void respondReadiness(ResponseSink sink) throws IOException {
         boolean isReady = ready.getAsBoolean() && config.current().revision() > 0;
-        sink.whole(isReady ? 200 : 503, PLAIN, bytes(isReady ? "ready\n" : "not ready\n"));
+        sink.respond(isReady ? 200 : 503, PLAIN, bytes(isReady ? "ready\n" : "not ready\n"));
     }
 
     private ModelList models() {
@@ -266,12 +270,14 @@
                 1);
     }
 
-    /** A fault of this host's own: whether the request has run is not known. */
-    private static void failClearly(ResponseSink sink, Response response, Callback callback) {
+    /**
+     * Answers after an internal error of this host; it is not known whether the request has run.
+     */
+    private static void respondHostFailed(ResponseSink sink, Response response, Callback callback) {
         RequestOutcome outcome = new RequestOutcome.Unknown("this host has failed");
         try {
             if (response.isCommitted()) {
-                throw new IOException("the answer has begun");
+                throw new IOException("the response has already been committed");
             }
             sink.refuse(500, "host_failed", "this host has failed", outcome, 1);
             sink.end();
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/Claims.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/ClaimClient.java
@@ -16,36 +16,39 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Takes and ends claims at the group of the zone that keeps them. */
-final class Claims {
+/** Acquires and ends claims of idempotency keys at the group of the zone that holds them. */
+final class ClaimClient {
 
-    private static final Logger logger = LogManager.getLogger(Claims.class);
+    private static final Logger logger = LogManager.getLogger(ClaimClient.class);
 
     private static final Duration CLAIM_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration END_TIMEOUT = Duration.ofSeconds(10);
 
     private final GroupClient groups;
-    private final ClaimPlacement homes;
+    private final ClaimPlacement placement;
     private final String tokenPrefix;
     private final AtomicLong nextToken = new AtomicLong();
 
-    Claims(Settings settings, GroupClient groups, long process) {
+    ClaimClient(Settings settings, GroupClient groups, long process) {
         this.groups = groups;
-        this.homes = new ClaimPlacement(settings.zones());
+        this.placement = new ClaimPlacement(settings.zones());
         this.tokenPrefix = settings.host() + "/" + Long.toHexString(process) + "/";
     }
 
-    /** Returns a token that no other attempt has. */
+    /** Returns a token that is unique among all attempts of all processes. */
     AttemptToken newToken() {
         return new AttemptToken(tokenPrefix + nextToken.incrementAndGet());
     }
 
-    /** Asks for the right to run a request; uncertain where the keeping group does not answer. */
+    /**
+     * Claims the right to run a request. The result is uncertain if the group that holds the claim
+     * does not confirm the command.
+     */
     ClaimResult claim(ClaimKey key, AttemptToken token, String fingerprint) {
         return send(key, new ClaimCommand.Claim(key, token, fingerprint), CLAIM_TIMEOUT);
     }
 
-    /** Ends a claim by a command that names it. */
+    /** Ends a claim by a command; a failure is only logged. */
     void end(ClaimKey key, ClaimCommand command) {
         ClaimResult result = send(key, command, END_TIMEOUT);
         if (!(result instanceof ClaimResult.Done)) {
@@ -58,7 +61,7 @@
     }
 
     private ClaimResult send(ClaimKey key, ClaimCommand command, Duration timeout) {
-        String group = Settings.zoneGroup(homes.zoneOf(key.key()));
+        String group = Settings.zoneGroup(placement.zoneOf(key.key()));
         byte[] bytes = Json.write(ZoneCommand.class, new ZoneCommand.ChangeClaims(command));
         return switch (groups.command(group, bytes, timeout)) {
             case CommandOutcome.Done(byte[] result) -> decode(result);
@@ -73,7 +76,7 @@
         return switch (Json.read(ZoneResult.class, bytes)) {
             case ZoneResult.ClaimsChanged(ClaimResult result) -> result;
             case ZoneResult.OrdersChanged ignored ->
-                    throw new IllegalStateException("a claim was answered as an order");
+                    throw new IllegalStateException("claim command returned OrdersChanged");
         };
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/OutgoingRequest.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/OutgoingRequest.java
@@ -7,24 +7,28 @@
 import java.util.Map;
 
 /**
- * A request on its way out, to an upstream of this zone or to a host of another.
+ * A request to be sent to an upstream of this zone or to a host of another zone.
  *
- * @param request what goes to either
- * @param towardsHosts headers that only another zone's host gets
+ * @param request the request without its deadline
+ * @param hostHeaders headers that only a host of another zone receives
  */
-record OutgoingRequest(UpstreamRequest request, Map<String, String> towardsHosts) {
+record OutgoingRequest(UpstreamRequest request, Map<String, String> hostHeaders) {
 
     /** Copies the headers. */
     OutgoingRequest {
-        towardsHosts = Map.copyOf(towardsHosts);
+        hostHeaders = Map.copyOf(hostHeaders);
     }
 
-    /** Returns the request as it goes to one of them, with the time that is left. */
-    UpstreamRequest towards(UpstreamId upstream, long deadlineMillis) {
+    /**
+     * Returns the request as it is sent to an upstream or to another zone's host.
+     *
+     * @param deadlineMillis the time that remains until the deadline
+     */
+    UpstreamRequest forUpstream(UpstreamId upstream, long deadlineMillis) {
         Map<String, String> headers = new HashMap<>(request.headers());
-        headers.put(RequestReader.DEADLINE, Long.toString(deadlineMillis));
+        headers.put(RequestReader.DEADLINE_HEADER, Long.toString(deadlineMillis));
         if (Neighbours.isNeighbour(upstream)) {
-            headers.putAll(towardsHosts);
+            headers.putAll(hostHeaders);
         }
         return new UpstreamRequest(
                 request.id(),
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/Exchange.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/RequestExecution.java
@@ -16,12 +16,13 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Takes one request through admission and its attempts to the end of its answer. To be run on a
- * virtual thread: a slow caller holds it, and by that the upstream.
+ * Executes one request: waits for its admission, sends it to upstreams until an attempt succeeds or
+ * the request is refused, and forwards the answer. Must run on a virtual thread: writes to a slow
+ * caller block it, which also applies back pressure to the upstream.
  */
-final class Exchange {
+final class RequestExecution {
 
-    private static final Logger logger = LogManager.getLogger(Exchange.class);
+    private static final Logger logger = LogManager.getLogger(RequestExecution.class);
 
     private static final int BUFFER_BYTES = 8192;
     private static final int SERVER_ERROR = 500;
@@ -36,13 +37,13 @@
     private final Duration lateAnswer;
 
     /**
-     * Creates an exchange.
+     * Creates the execution of a request.
      *
      * @param streamed whether the answer is a stream of events with an end marker
-     * @param maxAnswerBytes the largest plain answer
-     * @param lateAnswer how long past the deadline an attempt that runs is still awaited
+     * @param maxAnswerBytes the largest answer that is not streamed, in bytes
+     * @param lateAnswer how long past the deadline to wait for the answer of a running attempt
      */
-    Exchange(
+    RequestExecution(
             TrafficDriver traffic,
             UpstreamClient upstreams,
             Arrival arrival,
@@ -59,43 +60,44 @@
         this.lateAnswer = lateAnswer;
     }
 
-    /** Runs to the end. */
-    ExchangeResult run(AnswerSink sink) {
+    /** Blocks until the request has ended, and returns how it ended. */
+    ExecutionResult run(AnswerSink sink) {
         CompletableFuture<TrafficDriver.Decision> decision = traffic.submit(arrival);
         while (true) {
             switch (await(decision)) {
                 case TrafficDriver.Decision.GiveUp giveUp -> {
-                    return new ExchangeResult.GivenUp(
+                    return new ExecutionResult.Refused(
                             giveUp.refusal(), giveUp.outcome(), giveUp.retryAfterSeconds());
                 }
                 case TrafficDriver.Decision.Send send -> {
                     Attempt attempt = attempt(send, sink);
                     switch (attempt) {
-                        case Attempt.Ended(ExchangeResult result) -> {
+                        case Attempt.Ended(ExecutionResult result) -> {
                             return result;
                         }
-                        case Attempt.Failed(AttemptResult ending, RequestOutcome outcome) ->
-                                decision = traffic.recordFailure(arrival.id(), ending, outcome);
+                        case Attempt.Failed(AttemptResult attemptResult, RequestOutcome outcome) ->
+                                decision =
+                                        traffic.recordFailure(arrival.id(), attemptResult, outcome);
                     }
                 }
             }
         }
     }
 
-    /** How one attempt went. */
+    /** The result of one attempt. */
     private sealed interface Attempt {
-        /** Nothing more is to be tried. */
-        record Ended(ExchangeResult result) implements Attempt {}
+        /** The request has ended; there is no further attempt. */
+        record Ended(ExecutionResult result) implements Attempt {}
 
-        /** Nothing has reached the caller; it may be tried again. */
-        record Failed(AttemptResult ending, RequestOutcome outcome) implements Attempt {}
+        /** Nothing has been sent to the caller, so that the request may be tried again. */
+        record Failed(AttemptResult attemptResult, RequestOutcome outcome) implements Attempt {}
     }
 
     private Attempt attempt(TrafficDriver.Decision.Send send, AnswerSink sink) {
         String address = send.address();
         UpstreamCall call =
-                upstreams.call(address, request.towards(send.upstream(), remainingMillis()));
-        return switch (call.open(patienceMillis())) {
+                upstreams.call(address, request.forUpstream(send.upstream(), remainingMillis()));
+        return switch (call.open(openTimeoutMillis())) {
             case UpstreamCall.Opening.NotSent(String reason) ->
                     new Attempt.Failed(AttemptResult.FAILED, new RequestOutcome.NotRun(reason));
             case UpstreamCall.Opening.Declined() ->
@@ -112,18 +114,18 @@
 
     private Attempt deliver(
             UpstreamCall call, String address, UpstreamCall.Opening.Begun begun, AnswerSink sink) {
-        boolean events = streamed && begun.contentType().startsWith("text/event-stream");
+        boolean eventStream = streamed && begun.contentType().startsWith("text/event-stream");
         try {
-            return events ? stream(call, address, begun, sink) : plain(begun, sink);
+            return eventStream ? stream(call, address, begun, sink) : plain(begun, sink);
         } catch (CallerGoneException e) {
             call.abort("the caller has gone");
             traffic.withdraw(arrival.id());
             RequestOutcome outcome = new RequestOutcome.Unknown("the caller has gone");
-            return new Attempt.Ended(new ExchangeResult.CallerGone(outcome));
+            return new Attempt.Ended(new ExecutionResult.CallerGone(outcome));
         }
     }
 
-    /** Reads a plain answer whole before any of it is passed on. */
+    /** Reads an answer completely before forwarding any of it, so that a failure can be retried. */
     private Attempt plain(UpstreamCall.Opening.Begun begun, AnswerSink sink)
             throws CallerGoneException {
         byte[] body;
@@ -134,12 +136,12 @@
             return new Attempt.Failed(AttemptResult.FAILED, new RequestOutcome.Unknown(reason));
         }
         if (body.length > maxAnswerBytes) {
-            return broken("the answer is larger than " + maxAnswerBytes + " bytes");
+            return incomplete("the answer is larger than " + maxAnswerBytes + " bytes");
         }
-        toCaller(() -> sink.whole(begun.status(), begun.contentType(), body));
-        AttemptResult ending =
+        toCaller(() -> sink.respond(begun.status(), begun.contentType(), body));
+        AttemptResult attemptResult =
                 begun.status() >= SERVER_ERROR ? AttemptResult.FAILED : AttemptResult.SERVED;
-        return answered(begun.status(), ending);
+        return answered(begun.status(), attemptResult);
     }
 
     private Attempt stream(
@@ -148,22 +150,22 @@
         toCaller(() -> sink.begin(begun.status(), begun.contentType()));
         EventStreamTail tail = new EventStreamTail();
         InputStream body = begun.body();
-        ResumedStream resumed = new ResumedStream(upstreams, address, begun.stream(), arrival.id());
+        StreamResumer resumer = new StreamResumer(upstreams, address, begun.stream(), arrival.id());
         while (true) {
             boolean ended = copy(body, tail, sink);
-            if (ended && tail.whole()) {
+            if (ended && tail.isComplete()) {
                 return answered(begun.status(), AttemptResult.SERVED);
             }
-            InputStream rest = resumed.from(tail.length());
+            InputStream rest = resumer.resumeFrom(tail.length());
             if (rest == null) {
                 call.abort("the stream is broken");
-                return broken("the upstream's stream broke off");
+                return incomplete("the upstream's stream broke off");
             }
             body = rest;
         }
     }
 
-    /** Copies until the end or a failure of the upstream, and tells which. */
+    /** Copies the stream; returns true at its end, or false if reading from the upstream failed. */
     private static boolean copy(InputStream body, EventStreamTail tail, AnswerSink sink)
             throws CallerGoneException {
         byte[] buffer = new byte[BUFFER_BYTES];
@@ -183,24 +185,27 @@
         }
     }
 
-    private Attempt answered(int status, AttemptResult ending) {
+    private Attempt answered(int status, AttemptResult attemptResult) {
         RequestOutcome outcome = new RequestOutcome.Ran();
-        traffic.recordCompletion(arrival.id(), ending, outcome);
-        return new Attempt.Ended(new ExchangeResult.Answered(status, outcome));
+        traffic.recordCompletion(arrival.id(), attemptResult, outcome);
+        return new Attempt.Ended(new ExecutionResult.Answered(status, outcome));
     }
 
-    private Attempt broken(String reason) {
+    private Attempt incomplete(String reason) {
         RequestOutcome outcome = new RequestOutcome.Unknown(reason);
         traffic.recordCompletion(arrival.id(), AttemptResult.FAILED, outcome);
-        return new Attempt.Ended(new ExchangeResult.Broken(reason, outcome));
+        return new Attempt.Ended(new ExecutionResult.Incomplete(reason, outcome));
     }
 
     private long remainingMillis() {
         return Math.max(1, (arrival.deadline() - BootClock.nanos()) / NANOS_PER_MILLI);
     }
 
-    /** What an upstream runs is worth more late than unknown, within a bound. */
-    private long patienceMillis() {
+    /**
+     * Waits past the deadline for a limited time: for a request that an upstream runs, a late
+     * answer is better than an unknown outcome.
+     */
+    private long openTimeoutMillis() {
         return remainingMillis() + lateAnswer.toMillis();
     }
 
@@ -216,21 +221,21 @@
         }
     }
 
-    private static void toCaller(CallerStep step) throws CallerGoneException {
+    private static void toCaller(CallerWrite write) throws CallerGoneException {
         try {
-            step.run();
+            write.run();
         } catch (IOException e) {
             throw new CallerGoneException(e);
         }
     }
 
-    /** A step towards the caller. */
+    /** Writes to the caller. */
     @FunctionalInterface
-    private interface CallerStep {
+    private interface CallerWrite {
         void run() throws IOException;
     }
 
-    /** The caller cannot be reached any more. */
+    /** The caller has disconnected. */
     private static final class CallerGoneException extends Exception {
         private static final long serialVersionUID = 1L;
 
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/ResumedStream.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/StreamResumer.java
@@ -7,8 +7,8 @@
 import java.io.InputStream;
 import java.util.Map;
 
-/** Asks an engine for the rest of a stream that broke off, at the offset that was reached. */
-final class ResumedStream {
+/** Requests the rest of an interrupted event stream from the upstream that produced it. */
+final class StreamResumer {
 
     private static final int MAX_RESUMES = 3;
     private static final long TIMEOUT_MILLIS = 2000;
@@ -20,15 +20,15 @@
     private final RequestId request;
     private int resumes;
 
-    ResumedStream(UpstreamClient upstreams, String address, String stream, RequestId request) {
+    StreamResumer(UpstreamClient upstreams, String address, String stream, RequestId request) {
         this.upstreams = upstreams;
         this.address = address;
         this.stream = stream;
         this.request = request;
     }
 
-    /** Returns the rest from an offset in bytes, or null where it cannot be had. */
-    InputStream from(long offset) {
+    /** Returns the stream from an offset in bytes, or null if it cannot be resumed. */
+    InputStream resumeFrom(long offset) {
         if (stream.isEmpty() || resumes >= MAX_RESUMES) {
             return null;
         }
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/WorkDesk.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/WorkHandler.java
@@ -21,27 +21,27 @@
 import java.util.HexFormat;
 import java.util.Optional;
 
-/** Takes deferred work in, tells how far it is, and withdraws it. */
-final class WorkDesk {
+/** Accepts deferred work, reports its progress and answer, and cancels it. */
+final class WorkHandler {
 
-    /** The path under which accepted work is found. */
+    /** The path prefix of accepted work. */
     static final String PATH = "/v1/work/";
 
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
     private static final int POLL_SECONDS = 2;
 
     private final GroupClient groups;
-    private final WorkCommands commands;
+    private final WorkClient client;
 
-    WorkDesk(GroupClient groups) {
+    WorkHandler(GroupClient groups) {
         this.groups = groups;
-        this.commands = new WorkCommands(groups);
+        this.client = new WorkClient(groups);
     }
 
-    /** What is told of accepted work. */
+    /** The progress of accepted work, as it is written to the caller. */
     record Progress(String id, String status, int attempts) {}
 
-    /** Accepts work: the answer is 202 only once a quorum of disks holds it. */
+    /** Accepts work. The answer is 202 only after a quorum of hosts has written it to disk. */
     RequestOutcome accept(AcceptedRequest request, ResponseSink response) throws IOException {
         WorkId id = workId(request, response);
         Priority priority = request.caller().priority();
@@ -52,7 +52,7 @@
                         priority == Priority.NORMAL ? Priority.DEFERRED : priority,
                         new WorkItem.Request(request.path(), request.body()),
                         request.repeatable());
-        CommandOutcome outcome = commands.send(accept, TIMEOUT);
+        CommandOutcome outcome = client.send(accept, TIMEOUT);
         return switch (outcome) {
             case CommandOutcome.Done(byte[] bytes) -> accepted(id, bytes, response);
             case CommandOutcome.Refused(String reason) ->
@@ -70,17 +70,16 @@
         };
     }
 
-    /** Tells how far a piece of work is, or gives its answer. */
+    /** Answers with the progress of a work item, or with its stored answer. */
     void find(String name, CustomerId caller, ResponseSink response) throws IOException {
-        byte[] question =
-                Json.write(ControlQuery.class, new ControlQuery.FindWork(new WorkId(name)));
-        switch (groups.query(Settings.CONTROL_GROUP, question, TIMEOUT)) {
+        byte[] query = Json.write(ControlQuery.class, new ControlQuery.FindWork(new WorkId(name)));
+        switch (groups.query(Settings.CONTROL_GROUP, query, TIMEOUT)) {
             case CommandOutcome.Done(byte[] bytes) -> {
                 Optional<WorkItem> item =
                         Json.read(ControlState.FoundWork.class, bytes).items().stream()
                                 .filter(found -> found.caller().equals(caller))
                                 .findFirst();
-                tell(name, item, response);
+                respondItem(name, item, response);
             }
             case CommandOutcome.Refused(String reason) ->
                     refuse(response, reason, new RequestOutcome.Unknown(reason));
@@ -89,14 +88,14 @@
         }
     }
 
-    /** Withdraws a piece of work that has not begun to run. */
+    /** Cancels a work item that has not started to run. */
     void cancel(String name, CustomerId caller, ResponseSink response) throws IOException {
         WorkCommand.Cancel cancel = new WorkCommand.Cancel(new WorkId(name), caller);
-        switch (commands.send(cancel, TIMEOUT)) {
+        switch (client.send(cancel, TIMEOUT)) {
             case CommandOutcome.Done(byte[] bytes) -> {
-                boolean done = WorkCommands.decode(bytes) instanceof WorkResult.Done;
+                boolean done = WorkClient.decode(bytes) instanceof WorkResult.Done;
                 if (done) {
-                    tellProgress(200, new Progress(name, "cancelled", 0), response);
+                    respondProgress(200, new Progress(name, "cancelled", 0), response);
                 } else {
                     String message = "it is not known, or has begun to run";
                     response.refuse(
@@ -116,17 +115,17 @@
 
     private static RequestOutcome accepted(WorkId id, byte[] bytes, ResponseSink response)
             throws IOException {
-        if (WorkCommands.decode(bytes) instanceof WorkResult.Kept(WorkItem item)) {
-            response.header("Location", PATH + id);
-            response.header("Preference-Applied", "respond-async");
-            tellProgress(202, progress(item), response);
+        if (WorkClient.decode(bytes) instanceof WorkResult.Kept(WorkItem item)) {
+            response.setHeader("Location", PATH + id);
+            response.setHeader("Preference-Applied", "respond-async");
+            respondProgress(202, progress(item), response);
             return new RequestOutcome.NotRun("accepted");
         }
         String reason = "as much work is kept as may be";
         return refuse(response, reason, new RequestOutcome.NotRun(reason));
     }
 
-    private static void tell(String name, Optional<WorkItem> item, ResponseSink response)
+    private static void respondItem(String name, Optional<WorkItem> item, ResponseSink response)
             throws IOException {
         if (item.isEmpty()) {
             response.refuse(
@@ -139,19 +138,19 @@
         }
         if (item.get().answer().isPresent()) {
             StoredAnswer answer = item.get().answer().get();
-            response.whole(answer.status(), answer.contentType(), answer.body());
+            response.respond(answer.status(), answer.contentType(), answer.body());
             return;
         }
         boolean ended = item.get().progress().ended();
         if (!ended) {
-            response.header("Retry-After", Integer.toString(POLL_SECONDS));
+            response.setHeader("Retry-After", Integer.toString(POLL_SECONDS));
         }
-        tellProgress(ended ? 200 : 202, progress(item.get()), response);
+        respondProgress(ended ? 200 : 202, progress(item.get()), response);
     }
 
-    private static void tellProgress(int status, Progress progress, ResponseSink response)
+    private static void respondProgress(int status, Progress progress, ResponseSink response)
             throws IOException {
-        response.json(status, Json.write(Progress.class, progress));
+        response.respondJson(status, Json.write(Progress.class, progress));
     }
 
     private static Progress progress(WorkItem item) {
@@ -172,7 +171,9 @@
         return outcome;
     }
 
-    /** The same key of the same caller always names the same work. */
+    /**
+     * Derives the id from the caller and its key, so that a repeated request finds the same work.
+     */
     private static WorkId workId(AcceptedRequest request, ResponseSink response) {
         String name = request.key().map(IdempotencyKey::value).orElse(response.id().value());
         byte[] digest =
--- a/stackhall-server/src/main/java/io/stackhall/server/callers/WorkRunner.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/callers/WorkRunner.java
@@ -27,14 +27,14 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Takes accepted work and runs it: a few pieces at once on each entry host, behind everything that
- * somebody waits for.
+ * Runs deferred work: a few items at a time on each entry host, behind all requests with a waiting
+ * caller unless an urgent caller has sent the work.
  */
 public final class WorkRunner implements AutoCloseable {
 
     private static final Logger logger = LogManager.getLogger(WorkRunner.class);
 
-    private static final int PARALLEL = 2;
+    private static final int PARALLEL_RUNS = 2;
     private static final long IDLE_MILLIS = 500;
     private static final Duration TAKE_TIMEOUT = Duration.ofSeconds(3);
     private static final Duration END_TIMEOUT = Duration.ofMinutes(2);
@@ -42,7 +42,7 @@
 
     private final Settings settings;
     private final ConfigStore config;
-    private final WorkCommands commands;
+    private final WorkClient client;
     private final RequestRunner runner;
     private final String tokenPrefix;
     private final AtomicLong nextToken = new AtomicLong();
@@ -56,19 +56,19 @@
             long process) {
         this.settings = settings;
         this.config = config;
-        this.commands = new WorkCommands(groups);
+        this.client = new WorkClient(groups);
         this.runner = runner;
         this.tokenPrefix = settings.host() + "/" + Long.toHexString(process) + "/w";
     }
 
-    /** Starts to take work. */
+    /** Starts the threads that take and run work. */
     public void start() {
-        for (int at = 0; at < PARALLEL; at++) {
-            Thread.ofVirtual().name("work-" + at).start(this::loop);
+        for (int index = 0; index < PARALLEL_RUNS; index++) {
+            Thread.ofVirtual().name("work-" + index).start(this::loop);
         }
     }
 
-    /** Takes no more work; what runs goes on to its end. */
+    /** Stops taking work; work that is running continues to its end. */
     @Override
     public void close() {
         closed = true;
@@ -91,10 +91,10 @@
 
     private boolean takeAndRun() {
         AttemptToken token = new AttemptToken(tokenPrefix + nextToken.incrementAndGet());
-        CommandOutcome taken = commands.send(new WorkCommand.Take(token), TAKE_TIMEOUT);
+        CommandOutcome taken = client.send(new WorkCommand.Take(token), TAKE_TIMEOUT);
         return switch (taken) {
             case CommandOutcome.Done(byte[] bytes) -> {
-                if (WorkCommands.decode(bytes) instanceof WorkResult.Taken(WorkItem item)) {
+                if (WorkClient.decode(bytes) instanceof WorkResult.Taken(WorkItem item)) {
                     run(item, token);
                     yield true;
                 }
@@ -102,17 +102,20 @@
             }
             case CommandOutcome.Refused ignored -> false;
             case CommandOutcome.Unknown ignored -> {
-                giveBackWhateverWasTaken(token);
+                recoverLostTake(token);
                 yield false;
             }
         };
     }
 
-    /** A take whose answer is lost may hold work: asking again with its token tells. */
-    private void giveBackWhateverWasTaken(AttemptToken token) {
-        CommandOutcome again = commands.send(new WorkCommand.Take(token), END_TIMEOUT);
+    /**
+     * Runs the work that a take command with an unknown outcome may have assigned. Repeating the
+     * command with the same token returns that work.
+     */
+    private void recoverLostTake(AttemptToken token) {
+        CommandOutcome again = client.send(new WorkCommand.Take(token), END_TIMEOUT);
         if (again instanceof CommandOutcome.Done(byte[] bytes)
-                && WorkCommands.decode(bytes) instanceof WorkResult.Taken(WorkItem item)) {
+                && WorkClient.decode(bytes) instanceof WorkResult.Taken(WorkItem item)) {
             run(item, token);
         }
     }
@@ -140,9 +143,9 @@
                         settings.limits().deferredDeadline().toNanos(),
                         Reach.ALL_ZONES,
                         Optional.empty());
-        AnswerRecorder recorder = new AnswerRecorder(AnswerSink.nowhere());
+        AnswerRecorder recorder = new AnswerRecorder(AnswerSink.discarding());
         RequestId id = new RequestId("work-" + item.id() + "-" + item.attempts());
-        ExchangeResult result = runner.exchange(request, id, recorder);
+        ExecutionResult result = runner.execute(request, id, recorder);
         logger.info("work.ran id={} outcome={}", item.id(), result.outcome().header());
         end(
                 switch (result.outcome()) {
@@ -154,7 +157,7 @@
     }
 
     private void end(WorkCommand command) {
-        CommandOutcome outcome = commands.send(command, END_TIMEOUT);
+        CommandOutcome outcome = client.send(command, END_TIMEOUT);
         if (!(outcome instanceof CommandOutcome.Done)) {
             logger.warn(
                     "work.not-ended command={} {}", command.getClass().getSimpleName(), outcome);
