--- a/stackhall-server/src/main/java/io/stackhall/server/control/AllowanceDesk.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/AllowanceService.java
@@ -14,37 +14,37 @@
 import io.stackhall.server.peer.Replier;
 
 /** Answers entry hosts that ask for their customers' allowances. Used on one event loop. */
-final class AllowanceDesk {
+final class AllowanceService {
 
     private final ControlGroup group;
-    private final AllowanceManager keeper = new AllowanceManager();
+    private final AllowanceManager manager = new AllowanceManager();
     private boolean leading;
 
-    AllowanceDesk(ControlGroup group) {
+    AllowanceService(ControlGroup group) {
         this.group = group;
     }
 
     /** Puts the customers of the newest configuration into force. */
-    void customers(Customers next) {
-        keeper.configure(next, BootClock.nanos());
+    void setCustomers(Customers next) {
+        manager.configure(next, BootClock.nanos());
     }
 
     /** Takes in whether this host leads the control group from now on. */
-    void led(boolean leads) {
+    void setLeading(boolean leads) {
         leading = leads;
         if (leads) {
-            keeper.reset(BootClock.nanos());
+            manager.reset(BootClock.nanos());
         }
     }
 
     /** Decides about the claims of an entry host, or names who does. */
-    void asked(AllowanceAsk ask, Replier replier) {
+    void handle(AllowanceAsk request, Replier replier) {
         AllowanceAnswer.Builder answer =
                 AllowanceAnswer.newBuilder()
                         .setLeader(group.leader().map(HostId::value).orElse(""));
         if (leading && group.leads()) {
             answer.setLeads(true);
-            ask.getClaimsList().forEach(claim -> decide(claim, answer));
+            request.getClaimsList().forEach(claim -> decide(claim, answer));
         }
         replier.send(Frame.newBuilder().setAllowanceAnswer(answer).build());
     }
@@ -53,11 +53,11 @@
         long now = BootClock.nanos();
         CustomerId customer = new CustomerId(claim.getCustomer());
         if (claim.getReturned() > 0) {
-            keeper.refund(customer, claim.getReturned(), now);
+            manager.refund(customer, claim.getReturned(), now);
         }
         if (claim.getNumber() != 0) {
             answer.addDecisions(
-                    encode(claim.getNumber(), keeper.take(customer, claim.getCost(), now)));
+                    encode(claim.getNumber(), manager.take(customer, claim.getCost(), now)));
         }
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/control/ControlApi.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/ControlApi.java
@@ -47,15 +47,15 @@
     private static final byte[] ACKNOWLEDGED = "{}".getBytes(StandardCharsets.US_ASCII);
 
     private final ControlGroup group;
-    private final FleetKeeper fleet;
-    private final OperatorCalls operators;
-    private final EvacuationDesk evacuations;
+    private final FleetRegistry fleet;
+    private final OperatorApi operators;
+    private final EvacuationService evacuations;
 
     ControlApi(
             ControlGroup group,
-            FleetKeeper fleet,
-            OperatorCalls operators,
-            EvacuationDesk evacuations) {
+            FleetRegistry fleet,
+            OperatorApi operators,
+            EvacuationService evacuations) {
         this.group = group;
         this.fleet = fleet;
         this.operators = operators;
@@ -64,7 +64,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-        boolean keep = HttpUtil.isKeepAlive(request);
+        boolean keepAlive = HttpUtil.isKeepAlive(request);
         if (request.decoderResult().isFailure()) {
             answer(context, HttpResponseStatus.BAD_REQUEST, message("not HTTP"), false);
             return;
@@ -72,34 +72,38 @@
         String path = path(request.uri());
         Optional<String> heartbeat = Calls.heartbeatOf(path);
         Optional<String> leaving = Calls.deregistrationOf(path);
-        Optional<String> emptied = Calls.evacuationOf(path);
-        Optional<String> usedAgain = Calls.evacuationEndOf(path);
+        Optional<String> evacuatedZone = Calls.evacuationOf(path);
+        Optional<String> restoredZone = Calls.evacuationEndOf(path);
         boolean posted = request.method().equals(HttpMethod.POST);
         if (posted && heartbeat.isPresent()) {
-            heartbeat(context, heartbeat.get(), bytes(request), keep);
+            handleHeartbeat(context, heartbeat.get(), bytes(request), keepAlive);
         } else if (posted && leaving.isPresent()) {
-            leaving(context, leaving.get(), bytes(request), keep);
+            handleLeaving(context, leaving.get(), bytes(request), keepAlive);
         } else if (posted && path.equals(Calls.PUT_CONFIGURATION)) {
-            put(context, bytes(request), keep);
+            put(context, bytes(request), keepAlive);
         } else if (path.equals(Calls.READ_CONFIGURATION)) {
-            read(context, keep);
-        } else if (posted && emptied.isPresent()) {
-            evacuate(context, emptied.get(), false, keep);
-        } else if (posted && usedAgain.isPresent()) {
-            evacuate(context, usedAgain.get(), true, keep);
-        } else if (OperatorCalls.names(path)) {
-            operators.call(
+            read(context, keepAlive);
+        } else if (posted && evacuatedZone.isPresent()) {
+            evacuate(context, evacuatedZone.get(), false, keepAlive);
+        } else if (posted && restoredZone.isPresent()) {
+            evacuate(context, restoredZone.get(), true, keepAlive);
+        } else if (OperatorApi.handles(path)) {
+            operators.handle(
                     request.method(),
                     path,
                     bytes(request),
-                    done ->
+                    response ->
                             answer(
                                     context,
-                                    HttpResponseStatus.valueOf(done.status()),
-                                    done.body(),
-                                    keep));
+                                    HttpResponseStatus.valueOf(response.status()),
+                                    response.body(),
+                                    keepAlive));
         } else {
-            answer(context, HttpResponseStatus.NOT_FOUND, message("no such call: " + path), keep);
+            answer(
+                    context,
+                    HttpResponseStatus.NOT_FOUND,
+                    message("no such call: " + path),
+                    keepAlive);
         }
     }
 
@@ -109,32 +113,34 @@
         context.close();
     }
 
-    private void heartbeat(ChannelHandlerContext context, String id, byte[] body, boolean keep) {
+    private void handleHeartbeat(
+            ChannelHandlerContext context, String id, byte[] body, boolean keepAlive) {
         Either<Finding, Instance> decoded = RegistrationDecoder.decode(id, body);
         if (decoded.isLeft()) {
-            refuse(context, decoded.getLeft(), keep);
+            refuse(context, decoded.getLeft(), keepAlive);
             return;
         }
-        fleet.heard(decoded.get());
-        answer(context, HttpResponseStatus.OK, ACKNOWLEDGED, keep);
+        fleet.receive(decoded.get());
+        answer(context, HttpResponseStatus.OK, ACKNOWLEDGED, keepAlive);
     }
 
-    private void leaving(ChannelHandlerContext context, String id, byte[] body, boolean keep) {
+    private void handleLeaving(
+            ChannelHandlerContext context, String id, byte[] body, boolean keepAlive) {
         Either<Finding, UpstreamId> decoded = RegistrationDecoder.decodeLeaving(id, body);
         if (decoded.isLeft()) {
-            refuse(context, decoded.getLeft(), keep);
+            refuse(context, decoded.getLeft(), keepAlive);
             return;
         }
-        fleet.left(decoded.get());
-        answer(context, HttpResponseStatus.OK, ACKNOWLEDGED, keep);
+        fleet.remove(decoded.get());
+        answer(context, HttpResponseStatus.OK, ACKNOWLEDGED, keepAlive);
     }
 
-    private void refuse(ChannelHandlerContext context, Finding finding, boolean keep) {
-        fleet.refused(finding);
-        answer(context, HttpResponseStatus.BAD_REQUEST, message(finding.toString()), keep);
+    private void refuse(ChannelHandlerContext context, Finding finding, boolean keepAlive) {
+        fleet.recordRefusal(finding);
+        answer(context, HttpResponseStatus.BAD_REQUEST, message(finding.toString()), keepAlive);
     }
 
-    private void put(ChannelHandlerContext context, byte[] body, boolean keep) {
+    private void put(ChannelHandlerContext context, byte[] body, boolean keepAlive) {
         Either<Finding, RouteTable> decoded = ConfigurationDecoder.decode(body);
         List<Finding> findings =
                 decoded.isLeft()
@@ -142,35 +148,40 @@
                         : RouteTableChecker.check(decoded.get());
         if (!findings.isEmpty()) {
             logger.info("routes.refused findings={}", findings);
-            answer(context, HttpResponseStatus.BAD_REQUEST, message(findings.toString()), keep);
+            answer(
+                    context,
+                    HttpResponseStatus.BAD_REQUEST,
+                    message(findings.toString()),
+                    keepAlive);
             return;
         }
         long version = decoded.get().version();
-        byte[] command = ControlLog.putCommand(version, body);
+        byte[] command = ControlStateMachine.putCommand(version, body);
         Thread.startVirtualThread(
                 () -> {
                     CommandOutcome outcome = group.command(command, COMMIT_TIMEOUT);
-                    logger.info("routes.put version={} outcome={}", version, name(outcome));
+                    logger.info("routes.put version={} outcome={}", version, describe(outcome));
                     if (outcome instanceof CommandOutcome.Done) {
-                        answer(context, HttpResponseStatus.OK, ACKNOWLEDGED, keep);
+                        answer(context, HttpResponseStatus.OK, ACKNOWLEDGED, keepAlive);
                     } else {
                         answer(
                                 context,
                                 HttpResponseStatus.SERVICE_UNAVAILABLE,
                                 message(outcome.toString()),
-                                keep);
+                                keepAlive);
                     }
                 });
     }
 
-    private void evacuate(ChannelHandlerContext context, String zone, boolean ends, boolean keep) {
-        Optional<ZoneId> named = ZoneId.parse(zone);
-        if (named.isEmpty()) {
-            answer(context, HttpResponseStatus.BAD_REQUEST, message("no zone's name"), keep);
+    private void evacuate(
+            ChannelHandlerContext context, String zone, boolean ends, boolean keepAlive) {
+        Optional<ZoneId> zoneId = ZoneId.parse(zone);
+        if (zoneId.isEmpty()) {
+            answer(context, HttpResponseStatus.BAD_REQUEST, message("no zone's name"), keepAlive);
             return;
         }
         evacuations.order(
-                named.get(),
+                zoneId.get(),
                 ends,
                 outcome ->
                         answer(
@@ -179,10 +190,10 @@
                                         ? HttpResponseStatus.OK
                                         : HttpResponseStatus.SERVICE_UNAVAILABLE,
                                 ACKNOWLEDGED,
-                                keep));
+                                keepAlive));
     }
 
-    private void read(ChannelHandlerContext context, boolean keep) {
+    private void read(ChannelHandlerContext context, boolean keepAlive) {
         Thread.startVirtualThread(
                 () -> {
                     CommandOutcome outcome = group.query(READ_TIMEOUT);
@@ -192,30 +203,37 @@
                                 context,
                                 HttpResponseStatus.SERVICE_UNAVAILABLE,
                                 message(outcome.toString()),
-                                keep);
+                                keepAlive);
                         return;
                     }
-                    ControlSnapshot newest = ControlLog.decodeState(state);
+                    ControlSnapshot newest = ControlStateMachine.decodeState(state);
                     if (newest.getVersion() < 0) {
                         answer(
                                 context,
                                 HttpResponseStatus.SERVICE_UNAVAILABLE,
                                 message("there is no configuration yet"),
-                                keep);
+                                keepAlive);
                         return;
                     }
-                    answer(context, HttpResponseStatus.OK, newest.getBody().toByteArray(), keep);
+                    answer(
+                            context,
+                            HttpResponseStatus.OK,
+                            newest.getBody().toByteArray(),
+                            keepAlive);
                 });
     }
 
     private static void answer(
-            ChannelHandlerContext context, HttpResponseStatus status, byte[] body, boolean keep) {
+            ChannelHandlerContext context,
+            HttpResponseStatus status,
+            byte[] body,
+            boolean keepAlive) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
         response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
-        if (keep) {
+        if (keepAlive) {
             context.writeAndFlush(response);
         } else {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -229,7 +247,7 @@
         return ("{\"message\":\"" + escaped + "\"}").getBytes(StandardCharsets.UTF_8);
     }
 
-    private static String name(CommandOutcome outcome) {
+    private static String describe(CommandOutcome outcome) {
         return switch (outcome) {
             case CommandOutcome.Done ignored -> "committed";
             case CommandOutcome.Refused(String reason) -> "refused: " + reason;
--- a/stackhall-server/src/main/java/io/stackhall/server/control/ControlDaemon.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/ControlDaemon.java
@@ -47,16 +47,16 @@
     private static final Logger logger = LogManager.getLogger(ControlDaemon.class);
 
     /** A configuration of 10,000 routes at 300 bytes each fits several times. */
-    private static final int MAX_CALL_BYTES = 16 << 20;
+    private static final int MAX_REQUEST_BYTES = 16 << 20;
 
-    private static final long SWEEP_MILLIS = 500;
-    private static final long ORDER_MILLIS = 50;
+    private static final long SWEEP_INTERVAL_MILLIS = 500;
+    private static final long ORDER_INTERVAL_MILLIS = 50;
 
     /** As often as entry hosts tell of their work. */
-    private static final long WORK_MILLIS = 150;
+    private static final long WORK_INTERVAL_MILLIS = 150;
 
     /** What newly waits is heard by the giver of orders, who decides every 100 ms, in time. */
-    private static final long PASS_ON_MILLIS = 100;
+    private static final long RELAY_INTERVAL_MILLIS = 100;
 
     private final FleetSettings settings;
     private final FleetSettings.Control control;
@@ -65,20 +65,20 @@
     private final EventLoop loop = threads.next();
     private final PeerTransport transport;
     private final ControlHosts hosts;
-    private final FleetKeeper fleet;
-    private final WorkRelay works;
+    private final FleetRegistry fleet;
+    private final WorkRelay workRelay;
     private final ControlGroup group;
-    private final ControlLog log;
+    private final ControlStateMachine stateMachine;
 
     /** Of states that follow each other faster than they are passed on, the newest is enough. */
-    private final AtomicBoolean taking = new AtomicBoolean();
+    private final AtomicBoolean updateScheduled = new AtomicBoolean();
 
-    private final OrderGiver orders;
-    private final CrashKeeper crashes;
-    private final Confirmations confirmations;
-    private final AllowanceDesk allowances;
-    private final EvacuationDesk evacuations;
-    private final LimitDesk limits;
+    private final OrderIssuer orders;
+    private final CrashTracker crashes;
+    private final RoutesConfirmationService confirmations;
+    private final AllowanceService allowances;
+    private final EvacuationService evacuations;
+    private final LimitService limits;
     private Channel listener;
     private Optional<Channel> metricsListener = Optional.empty();
     private final FleetMetrics metrics = new FleetMetrics();
@@ -96,45 +96,48 @@
         this.control = control;
         this.transport = new PeerTransport(settings.peers(), threads, FleetDaemon.PEER_TIMING);
         this.hosts = new ControlHosts(settings, transport, host -> {});
-        this.fleet = new FleetKeeper(loop, transport, hosts, settings.limits().heartbeat());
-        this.works = new WorkRelay(hosts.self(), fleet.followers(), fleet::toControlHosts);
-        this.log = new ControlLog();
+        this.fleet = new FleetRegistry(loop, transport, hosts, settings.limits().heartbeat());
+        this.workRelay = new WorkRelay(hosts.self(), fleet.followers(), fleet::sendToControlHosts);
+        this.stateMachine = new ControlStateMachine();
         this.group =
                 new ControlGroup(
                         settings,
                         control,
                         transport,
                         hosts,
-                        log,
+                        stateMachine,
                         new Listener(),
                         new Random(),
                         aliveSince);
-        this.crashes = new CrashKeeper(loop, fleet::tellOthers, group);
-        this.confirmations = new Confirmations(loop, group, this::heldVersion, this::confirmed);
-        this.allowances = new AllowanceDesk(group);
-        this.limits = new LimitDesk(group, fleet, hosts.self());
+        this.crashes = new CrashTracker(loop, fleet::broadcast, group);
+        this.confirmations =
+                new RoutesConfirmationService(
+                        loop, group, this::heldVersion, this::handleConfirmed);
+        this.allowances = new AllowanceService(group);
+        this.limits = new LimitService(group, fleet, hosts.self());
         this.orders =
-                new OrderGiver(
+                new OrderIssuer(
                         settings,
                         group,
                         fleet,
                         limits,
                         new UpstreamClient(loop, Headers.REQUEST_ID));
-        this.evacuations = new EvacuationDesk(group, fleet::passOn, orders::evacuated);
+        this.evacuations =
+                new EvacuationService(group, fleet::sendToEntryHosts, orders::setEvacuatedZones);
     }
 
     @Override
     public void start() {
-        transport.open(this::received);
+        transport.open(this::receive);
         hosts.start();
         group.start();
         listener = listen();
         metricsListener =
                 settings.metrics().map(at -> AnswerServer.listen(threads, at, this::metricsAnswer));
-        RepeatedTask.every(loop, SWEEP_MILLIS, this::sweep);
-        RepeatedTask.every(loop, WORK_MILLIS, works::tellEntryHosts);
-        RepeatedTask.every(loop, PASS_ON_MILLIS, works::passOn);
-        RepeatedTask.every(loop, ORDER_MILLIS, orders::tick);
+        RepeatedTask.every(loop, SWEEP_INTERVAL_MILLIS, this::sweep);
+        RepeatedTask.every(loop, WORK_INTERVAL_MILLIS, workRelay::relayToEntryHosts);
+        RepeatedTask.every(loop, RELAY_INTERVAL_MILLIS, workRelay::relayToControlHosts);
+        RepeatedTask.every(loop, ORDER_INTERVAL_MILLIS, orders::tick);
         logger.info(
                 "daemon.started host={} zone={} api={}",
                 settings.host(),
@@ -150,7 +153,7 @@
     @Override
     public void drain() {
         logger.info("daemon.draining host={}", settings.host());
-        group.transfer();
+        group.transferLeadership();
         listener.close();
         pause(Duration.ofMillis(300));
     }
@@ -165,42 +168,42 @@
         logger.info("daemon.stopped host={}", settings.host());
     }
 
-    private void received(Frame frame, Replier replier) {
-        if (group.received(frame, replier)) {
+    private void receive(Frame frame, Replier replier) {
+        if (group.receive(frame, replier)) {
             return;
         }
-        loop.execute(() -> receivedOnLoop(frame, replier));
+        loop.execute(() -> handleOnLoop(frame, replier));
     }
 
-    private void receivedOnLoop(Frame frame, Replier replier) {
+    private void handleOnLoop(Frame frame, Replier replier) {
         switch (frame.getBodyCase()) {
-            case INTRODUCTION -> introduced(frame.getIntroduction(), replier);
-            case INSTANCES -> fleet.heard(frame.getInstances());
+            case INTRODUCTION -> handleIntroduction(frame.getIntroduction(), replier);
+            case INSTANCES -> fleet.receive(frame.getInstances());
             case FLEET_FOLLOW -> {
-                evacuations.followed(frame.getFleetFollow(), replier);
-                limits.followed(new HostId(frame.getFleetFollow().getHost()));
-                fleet.followed(frame.getFleetFollow(), replier, this::first);
+                evacuations.handleFollow(frame.getFleetFollow(), replier);
+                limits.handleFollow(new HostId(frame.getFleetFollow().getHost()));
+                fleet.handleFollow(frame.getFleetFollow(), replier, this::initialFrames);
                 if (frame.getFleetFollow().getWantsConfirmation()) {
-                    confirmations.ask(frame.getFleetFollow(), replier);
+                    confirmations.request(frame.getFleetFollow(), replier);
                 }
             }
-            case WORK -> worked(frame.getWork());
+            case WORK -> handleWork(frame.getWork());
             case DEMAND -> {
-                works.demanded(frame.getDemand());
-                orders.demanded(frame.getDemand());
+                workRelay.receiveDemand(frame.getDemand());
+                orders.recordDemand(frame.getDemand());
             }
-            case INSTANCE_UNREACHABLE -> orders.unreachable(frame.getInstanceUnreachable());
+            case INSTANCE_UNREACHABLE -> orders.recordUnreachable(frame.getInstanceUnreachable());
             case INSTANCE_LEAVING ->
-                    fleet.leaving(
+                    fleet.drain(
                             UpstreamId.parse(frame.getInstanceLeaving().getInstance()),
                             new HostId(frame.getInstanceLeaving().getHost()));
-            case ADAPTER_WANTED -> orders.wanted(frame.getAdapterWanted());
-            case RESIDENCY -> fleet.passOn(frame);
-            case CRASH_NOTICE -> crashes.heard(frame.getCrashNotice());
-            case LIMIT_WORDS -> limits.told(frame.getLimitWords());
-            case LIMIT_HEARD -> limits.heard(frame.getLimitHeard());
-            case PERMIT_ASK -> limits.asked(frame.getPermitAsk(), replier);
-            case ALLOWANCE_ASK -> allowances.asked(frame.getAllowanceAsk(), replier);
+            case ADAPTER_WANTED -> orders.requestAdapter(frame.getAdapterWanted());
+            case RESIDENCY -> fleet.sendToEntryHosts(frame);
+            case CRASH_NOTICE -> crashes.receive(frame.getCrashNotice());
+            case LIMIT_WORDS -> limits.receive(frame.getLimitWords());
+            case LIMIT_HEARD -> limits.handleObservation(frame.getLimitHeard());
+            case PERMIT_ASK -> limits.handlePermitRequest(frame.getPermitAsk(), replier);
+            case ALLOWANCE_ASK -> allowances.handle(frame.getAllowanceAsk(), replier);
             default -> logger.debug("peer.frame-ignored kind={}", frame.getBodyCase());
         }
     }
@@ -209,56 +212,57 @@
      * Tells another control host everything on each connection that has come up, whoever opened it:
      * what was heard before this host's own connection was up, the other has not been told.
      */
-    private void introduced(Introduction introduction, Replier replier) {
+    private void handleIntroduction(Introduction introduction, Replier replier) {
         hosts.introduced(introduction);
         if (!introduction.getAnswer()) {
             replier.send(hosts.introduction(true));
         }
         if (introduction.getControl()) {
-            replier.send(crashes.whole());
-            fleet.tellAll(replier);
-            replier.send(limits.whole());
+            replier.send(crashes.fullNotice());
+            fleet.sendAll(replier);
+            replier.send(limits.fullUpdate());
         }
     }
 
     /** What an entry host that newly relies on this one is told before it can serve. */
-    private List<Frame> first() {
-        return List.of(crashes.whole(), limits.whole());
+    private List<Frame> initialFrames() {
+        return List.of(crashes.fullNotice(), limits.fullUpdate());
     }
 
-    private void takeCommitted() {
-        taking.set(false);
-        ControlSnapshot state = log.state();
-        evacuations.committed(EvacuationCodec.decode(state.getEvacuated()));
-        takeRoutes(state);
-        crashes.committed(state);
+    private void applyCommittedState() {
+        updateScheduled.set(false);
+        ControlSnapshot state = stateMachine.state();
+        evacuations.applyCommitted(EvacuationCodec.decode(state.getEvacuated()));
+        applyRoutes(state);
+        crashes.applyCommitted(state);
     }
 
-    private void worked(WorkReport report) {
-        works.worked(report);
-        orders.worked(WorkCodec.decode(report));
+    private void handleWork(WorkReport report) {
+        workRelay.receiveWork(report);
+        orders.recordWork(WorkCodec.decode(report));
     }
 
     /**
      * A host hears first which zones are evacuated and, if it holds no routes yet, whom it refuses.
      */
-    private void confirmed(Confirmations.Ask ask, ControlSnapshot state) {
+    private void handleConfirmed(
+            RoutesConfirmationService.ConfirmationRequest request, ControlSnapshot state) {
         EvacuatedZones zones = EvacuationCodec.decode(state.getEvacuated());
-        evacuations.confirmed(zones, ask.follow(), ask.replier());
-        takeRoutes(state);
-        if (ask.follow().getRoutesVersion() < 0) {
-            ask.replier().send(CrashKeeper.sentences(state));
+        evacuations.applyConfirmed(zones, request.follow(), request.replier());
+        applyRoutes(state);
+        if (request.follow().getRoutesVersion() < 0) {
+            request.replier().send(CrashTracker.sentencesFrame(state));
         }
-        fleet.confirm(ask);
+        fleet.sendConfirmation(request);
     }
 
     private long heldVersion() {
         return fleet.routes().getVersion();
     }
 
-    private void takeRoutes(ControlSnapshot state) {
-        if (fleet.takeRoutes(state)) {
-            fleet.routeTable().ifPresent(table -> allowances.customers(table.customers()));
+    private void applyRoutes(ControlSnapshot state) {
+        if (fleet.applyRoutes(state)) {
+            fleet.routeTable().ifPresent(table -> allowances.setCustomers(table.customers()));
         }
     }
 
@@ -268,7 +272,7 @@
         metrics.state("commit_index", (double) group.view().commitIndex());
         metrics.state("routes_version", (double) fleet.routes().getVersion());
         metrics.state("instances", fleet.instances().size());
-        metrics.state("limited_upstreams", limits.limited().size());
+        metrics.state("limited_upstreams", limits.limitedUpstreams().size());
         metrics.state("followers", fleet.followers().count());
         metrics.state("refused_records", (double) fleet.refusedRecords());
         return new AnswerServer.Answer(HttpResponseStatus.OK.code(), metrics.scrape());
@@ -281,15 +285,16 @@
         limits.sweep();
         if (group.leads()) {
             fleet.expire();
-            crashes.agree();
+            crashes.proposeSentences();
         }
         if (group.leader().isEmpty()) {
-            fleet.outOfTouch();
+            fleet.notifyOutOfTouch();
         }
     }
 
     private Channel listen() {
-        OperatorCalls operators = new OperatorCalls(loop, new SentenceCalls(loop, crashes), limits);
+        OperatorApi operators =
+                new OperatorApi(loop, new RefusedRequestsApi(loop, crashes), limits);
         return new ServerBootstrap()
                 .group(threads)
                 .channel(NioServerSocketChannel.class)
@@ -302,7 +307,7 @@
                                         .addLast(
                                                 new IdleStateHandler(0, 0, 60),
                                                 new HttpServerCodec(),
-                                                new HttpObjectAggregator(MAX_CALL_BYTES),
+                                                new HttpObjectAggregator(MAX_REQUEST_BYTES),
                                                 new ControlApi(
                                                         group, fleet, operators, evacuations));
                             }
@@ -324,8 +329,8 @@
     private final class Listener implements GroupListener {
         @Override
         public void changed() {
-            if (taking.compareAndSet(false, true)) {
-                loop.execute(ControlDaemon.this::takeCommitted);
+            if (updateScheduled.compareAndSet(false, true)) {
+                loop.execute(ControlDaemon.this::applyCommittedState);
             }
         }
 
@@ -338,11 +343,11 @@
             loop.execute(
                     () -> {
                         if (leading) {
-                            fleet.refresh();
+                            fleet.restartSilenceTimers();
                         }
-                        allowances.led(leading);
-                        limits.led(leading);
-                        orders.led(leading, log.state());
+                        allowances.setLeading(leading);
+                        limits.setLeading(leading);
+                        orders.setLeading(leading, stateMachine.state());
                     });
         }
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/ControlGroup.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/ControlGroup.java
@@ -35,7 +35,7 @@
 final class ControlGroup implements AutoCloseable {
 
     private static final String GROUP = "control";
-    private static final long LEAST_FREE_BYTES = 8 << 20;
+    private static final long MIN_FREE_BYTES = 8 << 20;
 
     /** Longer than a slow sync of a disk (30 times 2 ms), shorter than a caller's patience. */
     private static final Duration ELECTION_TIMEOUT = Duration.ofMillis(500);
@@ -56,7 +56,7 @@
             FleetSettings.Control control,
             PeerTransport transport,
             ControlHosts hosts,
-            ControlLog log,
+            ControlStateMachine log,
             GroupListener listener,
             RandomGenerator random,
             long aliveSince)
@@ -65,9 +65,9 @@
         this.transport = transport;
         this.hosts = hosts;
         this.folder = DataFolder.open(control.dataFolder());
-        Path saved = folder.resolve("groups").resolve(GROUP);
+        Path replicaFolder = folder.resolve("groups").resolve(GROUP);
         int voters = 2 * settings.limits().hostLossesBorne() + 1;
-        ReplicaSettings times =
+        ReplicaSettings replicaSettings =
                 new ReplicaSettings(
                         ELECTION_TIMEOUT, HEARTBEAT, DRIFT_MARGIN, MAX_ENTRIES_PER_MESSAGE, voters);
         this.replica =
@@ -75,8 +75,8 @@
                         GROUP,
                         settings.peerName().value(),
                         founders(),
-                        times,
-                        () -> DiskStorage.open(saved, random, LEAST_FREE_BYTES),
+                        replicaSettings,
+                        () -> DiskStorage.open(replicaFolder, random, MIN_FREE_BYTES),
                         log,
                         new Wire(),
                         listener,
@@ -101,12 +101,12 @@
     }
 
     /** Asks the newest state a question; to be called on a virtual thread. */
-    CommandOutcome query(byte[] question, Duration timeout) {
-        return client.query(GROUP, question, timeout);
+    CommandOutcome query(byte[] query, Duration timeout) {
+        return client.query(GROUP, query, timeout);
     }
 
     /** Takes a frame of the group, if it is one. */
-    boolean received(Frame frame, Replier replier) {
+    boolean receive(Frame frame, Replier replier) {
         switch (frame.getBodyCase()) {
             case RAFT -> replica.receive(ReplicationCodec.decode(frame.getRaft()));
             case HELLO -> replica.receive(ReplicationCodec.decode(frame.getHello()));
@@ -131,7 +131,7 @@
         return replica.view().leader().map(ReplicaId::host).map(HostId::new);
     }
 
-    void transfer() {
+    void transferLeadership() {
         replica.transfer();
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/control/ControlLog.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/ControlStateMachine.java
@@ -22,9 +22,9 @@
  * The replicated state of the control group: the configuration of the highest version, who gave
  * orders last, and which requests are refused because they end instances.
  */
-final class ControlLog implements GroupState {
+final class ControlStateMachine implements GroupState {
 
-    private static final Logger logger = LogManager.getLogger(ControlLog.class);
+    private static final Logger logger = LogManager.getLogger(ControlStateMachine.class);
 
     private volatile ControlSnapshot state = initial();
 
@@ -48,15 +48,14 @@
 
     /** Answers with the whole state, without the configuration where the asker holds that one. */
     @Override
-    public byte[] query(byte[] question) {
+    public byte[] query(byte[] query) {
         ControlSnapshot now = state;
-        boolean held =
-                question.length > 0 && decodeState(question).getVersion() == now.getVersion();
+        boolean held = query.length > 0 && decodeState(query).getVersion() == now.getVersion();
         return held ? now.toBuilder().clearBody().build().toByteArray() : now.toByteArray();
     }
 
     /** Returns the question for the state by whoever holds a configuration already. */
-    static byte[] question(long heldVersion) {
+    static byte[] stateQuery(long heldVersion) {
         return ControlSnapshot.newBuilder().setVersion(heldVersion).build().toByteArray();
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/control/CrashKeeper.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/CrashTracker.java
@@ -30,17 +30,17 @@
  * control group agree on those that are refused, so that a restart of all hosts does not forget
  * them. Used on one event loop.
  */
-final class CrashKeeper {
+final class CrashTracker {
 
-    private static final Logger logger = LogManager.getLogger(CrashKeeper.class);
+    private static final Logger logger = LogManager.getLogger(CrashTracker.class);
 
     private static final Duration COMMIT_TIMEOUT = Duration.ofSeconds(3);
 
     /** Each costs sixteen bytes in the control group's state and in what a new follower is told. */
-    private static final int MOST_SENTENCED = 1000;
+    private static final int MAX_SENTENCED = 1000;
 
     private final EventLoop loop;
-    private final Consumer<Frame> toOthers;
+    private final Consumer<Frame> broadcast;
     private final ControlGroup group;
     private final CrashLedger ledger = new CrashLedger();
     private List<ByteString> sentenced = List.of();
@@ -53,7 +53,7 @@
      * One request that is refused.
      *
      * @param digest names it, as in the logs
-     * @param instances the lives that ended under it, as far as this host remembers
+     * @param instances the incarnations that ended under it, as far as this host remembers
      * @param secondsLeft how much longer it is refused
      */
     record Refusal(String digest, List<String> instances, long secondsLeft) {}
@@ -61,23 +61,23 @@
     /**
      * Creates a keeper that knows of nothing.
      *
-     * @param toOthers sends a frame to the other control hosts, and to the entry hosts that rely on
-     *     this one
+     * @param broadcast sends a frame to the other control hosts, and to the entry hosts that rely
+     *     on this one
      */
-    CrashKeeper(EventLoop loop, Consumer<Frame> toOthers, ControlGroup group) {
+    CrashTracker(EventLoop loop, Consumer<Frame> broadcast, ControlGroup group) {
         this.loop = loop;
-        this.toOthers = toOthers;
+        this.broadcast = broadcast;
         this.group = group;
     }
 
     /** Takes in what an entry host or another control host tells, and passes on what is new. */
-    void heard(CrashNotice notice) {
+    void receive(CrashNotice notice) {
         long now = BootClock.nanos();
-        CrashNotice.Builder news = CrashCodec.notice();
+        CrashNotice.Builder unseen = CrashCodec.notice();
         for (CrashRecord record : notice.getCrashesList()) {
             Crash crash = CrashCodec.decode(record);
             if (ledger.recordCrash(crash, now)) {
-                news.addCrashes(record);
+                unseen.addCrashes(record);
                 logger.info(
                         "crash.heard instance={} requests={}",
                         crash.incarnation(),
@@ -87,36 +87,36 @@
         for (AcquittalRecord record : notice.getAcquittalsList()) {
             Acquittal acquittal = CrashCodec.decode(record);
             if (ledger.applyAcquittal(acquittal)) {
-                news.addAcquittals(record);
+                unseen.addAcquittals(record);
                 logger.info("crash.taken-back digest={}", acquittal.request());
             }
         }
-        if (news.getCrashesCount() > 0 || news.getAcquittalsCount() > 0) {
-            toOthers.accept(CrashCodec.frame(news));
+        if (unseen.getCrashesCount() > 0 || unseen.getAcquittalsCount() > 0) {
+            broadcast.accept(CrashCodec.frame(unseen));
         }
     }
 
     /** Takes over what the group has agreed on, and tells of it. */
-    void committed(ControlSnapshot state) {
+    void applyCommitted(ControlSnapshot state) {
         if (state.getSentencedList().equals(sentenced)) {
             return;
         }
-        List<ByteString> lifted = without(sentenced, state.getSentencedList());
+        List<ByteString> lifted = difference(sentenced, state.getSentencedList());
         sentenced = state.getSentencedList();
         ledger.applySentences(CrashCodec.decode(sentenced), BootClock.nanos());
         ledger.liftSentences(CrashCodec.decode(lifted));
-        toOthers.accept(sentences(state, lifted));
+        broadcast.accept(sentencesFrame(state, lifted));
     }
 
     /**
      * Returns what the group has agreed on, for an entry host that is about to be told its first
      * routes: without it, a host sent a request that is refused 2 ms before it heard so.
      */
-    static Frame sentences(ControlSnapshot state) {
-        return sentences(state, List.of());
+    static Frame sentencesFrame(ControlSnapshot state) {
+        return sentencesFrame(state, List.of());
     }
 
-    private static Frame sentences(ControlSnapshot state, List<ByteString> lifted) {
+    private static Frame sentencesFrame(ControlSnapshot state, List<ByteString> lifted) {
         return CrashCodec.frame(
                 CrashCodec.notice()
                         .setSentenced(
@@ -126,7 +126,7 @@
     }
 
     /** Returns all that is known, for a host that may know nothing. */
-    Frame whole() {
+    Frame fullNotice() {
         return CrashCodec.frame(
                 CrashCodec.notice()
                         .addAllCrashes(ledger.crashes().stream().map(CrashCodec::encode).toList())
@@ -139,19 +139,19 @@
     }
 
     /** Has the group agree on what this host holds against requests; for the leader alone. */
-    void agree() {
-        List<ByteString> wanted =
+    void proposeSentences() {
+        List<ByteString> condemned =
                 CrashCodec.encode(ledger.condemned(BootClock.nanos())).stream()
-                        .limit(MOST_SENTENCED)
+                        .limit(MAX_SENTENCED)
                         .toList();
-        List<ByteString> added = without(wanted, sentenced);
-        List<ByteString> lifted = without(sentenced, wanted);
+        List<ByteString> added = difference(condemned, sentenced);
+        List<ByteString> lifted = difference(sentenced, condemned);
         if (committing || (added.isEmpty() && lifted.isEmpty())) {
             return;
         }
         committing = true;
         logger.info("sentences.proposed added={} lifted={}", added.size(), lifted.size());
-        byte[] command = ControlLog.sentenceCommand(added, lifted);
+        byte[] command = ControlStateMachine.sentenceCommand(added, lifted);
         Thread.startVirtualThread(
                 () -> {
                     group.command(command, COMMIT_TIMEOUT);
@@ -160,17 +160,17 @@
     }
 
     /** Returns the requests that are refused now, as JSON that names each with its evidence. */
-    byte[] refused() {
+    byte[] refusedRequestsJson() {
         long now = BootClock.nanos();
         List<Refusal> all = new ArrayList<>();
         for (RequestDigest request : ledger.condemned(now)) {
-            if (ledger.standing(request, now) instanceof Standing.Condemned(Duration left)) {
-                List<String> lives =
+            if (ledger.standing(request, now) instanceof Standing.Condemned(Duration remaining)) {
+                List<String> incarnations =
                         ledger.incarnations(request).stream()
                                 .map(UpstreamId::toString)
                                 .sorted()
                                 .toList();
-                all.add(new Refusal(request.value(), lives, left.toSeconds()));
+                all.add(new Refusal(request.value(), incarnations, remaining.toSeconds()));
             }
         }
         return Json.write(Refusals.class, new Refusals(all));
@@ -181,21 +181,22 @@
      * group agrees to refuse it no longer. Ends that come later are held against it anew.
      *
      * @param operator who asks for it, for the log
-     * @param then told whether the group has agreed, on another thread
+     * @param onOutcome told whether the group has agreed, on another thread
      */
-    void lift(RequestDigest request, String operator, Consumer<CommandOutcome> then) {
+    void lift(RequestDigest request, String operator, Consumer<CommandOutcome> onOutcome) {
         logger.info("sentence.lift digest={} operator={}", request, operator);
         ledger.recordHarmlessEnd(request)
                 .map(CrashCodec::encode)
                 .map(CrashCodec.notice()::addAcquittals)
                 .map(CrashCodec::frame)
-                .ifPresent(toOthers);
+                .ifPresent(broadcast);
         byte[] command =
-                ControlLog.liftCommand(CrashCodec.encode(List.of(request)).getFirst(), operator);
-        Thread.startVirtualThread(() -> then.accept(group.command(command, COMMIT_TIMEOUT)));
+                ControlStateMachine.liftCommand(
+                        CrashCodec.encode(List.of(request)).getFirst(), operator);
+        Thread.startVirtualThread(() -> onOutcome.accept(group.command(command, COMMIT_TIMEOUT)));
     }
 
-    private static List<ByteString> without(List<ByteString> all, List<ByteString> those) {
+    private static List<ByteString> difference(List<ByteString> all, List<ByteString> those) {
         List<ByteString> rest = new ArrayList<>(all);
         rest.removeAll(those);
         return rest;
--- a/stackhall-server/src/main/java/io/stackhall/server/control/EngineCalls.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/EngineClient.java
@@ -32,54 +32,54 @@
 import org.apache.logging.log4j.Logger;
 
 /** Calls engines, with a bound on the time of each call, and only while that is allowed. */
-final class EngineCalls {
+final class EngineClient {
 
-    private static final Logger logger = LogManager.getLogger(EngineCalls.class);
+    private static final Logger logger = LogManager.getLogger(EngineClient.class);
 
     /** Engines answer orders within some milliseconds. */
-    private static final long ANSWER_MILLIS = 900;
+    private static final long TIMEOUT_MILLIS = 900;
 
     private final EventLoop loop;
     private final UpstreamClient upstreams;
-    private final BooleanSupplier allowed;
-    private final CallWatcher watcher;
-    private final Set<Call> underWay = new HashSet<>();
+    private final BooleanSupplier sendAllowed;
+    private final EngineListener engineListener;
+    private final Set<Call> inFlight = new HashSet<>();
 
     /** Hears the answer to one call. */
     interface AnswerListener {
         /** Takes the status, if an answer came in time, and the answer's body. */
-        void answered(Optional<Integer> status, byte[] body);
+        void onAnswer(Optional<Integer> status, byte[] body);
     }
 
     /** Hears what becomes of all calls. */
-    interface CallWatcher {
+    interface EngineListener {
         /** An engine names how many requests a second it takes. */
-        void limited(UpstreamId id, double perSecond);
+        void onLimit(UpstreamId id, double perSecond);
 
         /** An engine wants nothing from this host for some time. */
-        void wantsRest(UpstreamId id, Duration time);
+        void onRest(UpstreamId id, Duration time);
 
         /** An engine says that it leaves. */
-        void leaving(UpstreamId id);
+        void onLeaving(UpstreamId id);
 
         /** An engine cannot be connected to; takes whether the connection was refused. */
-        void unreachable(UpstreamId id, boolean refused);
+        void onUnreachable(UpstreamId id, boolean refused);
     }
 
     /**
      * Creates a client.
      *
-     * @param allowed asked right before a call is written
+     * @param sendAllowed asked right before a call is written
      */
-    EngineCalls(
+    EngineClient(
             EventLoop loop,
             UpstreamClient upstreams,
-            BooleanSupplier allowed,
-            CallWatcher watcher) {
+            BooleanSupplier sendAllowed,
+            EngineListener engineListener) {
         this.loop = loop;
         this.upstreams = upstreams;
-        this.allowed = allowed;
-        this.watcher = watcher;
+        this.sendAllowed = sendAllowed;
+        this.engineListener = engineListener;
     }
 
     void post(UpstreamId id, String address, String path, byte[] body, AnswerListener listener) {
@@ -92,7 +92,7 @@
 
     /** Breaks off all calls that are under way, as if no answer had come in time. */
     void cancelAll() {
-        List.copyOf(underWay).forEach(Call::outOfTime);
+        List.copyOf(inFlight).forEach(Call::timeOut);
     }
 
     private static FullHttpRequest request(
@@ -126,25 +126,25 @@
         }
 
         void start(FullHttpRequest request) {
-            timeout = loop.schedule(this::outOfTime, ANSWER_MILLIS, TimeUnit.MILLISECONDS);
-            underWay.add(this);
+            timeout = loop.schedule(this::timeOut, TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            inFlight.add(this);
             call = upstreams.send(address, request, "", this);
         }
 
         @Override
         public boolean sending() {
-            return allowed.getAsBoolean();
+            return sendAllowed.getAsBoolean();
         }
 
         @Override
         public void answered(HttpResponse head) {
             status = head.status().code();
             AnswerHeaders.limit(head.headers()::get)
-                    .forEach(limit -> limit.ifPresent(one -> watcher.limited(id, one)));
+                    .forEach(limit -> limit.ifPresent(one -> engineListener.onLimit(id, one)));
             AnswerHeaders.rest(status, head.headers()::get, Instant.now())
-                    .forEach(rest -> rest.ifPresent(time -> watcher.wantsRest(id, time)));
+                    .forEach(rest -> rest.ifPresent(time -> engineListener.onRest(id, time)));
             if (AnswerHeaders.leaving(head.headers()::get)) {
-                watcher.leaving(id);
+                engineListener.onLeaving(id);
             }
         }
 
@@ -163,20 +163,20 @@
             logger.info("order.unanswered address={} reason={}", address, failure.reason());
             boolean refused = failure.stage() == CallFailure.Stage.REFUSED;
             if (refused || failure.stage() == CallFailure.Stage.NO_CONNECTION) {
-                watcher.unreachable(id, refused);
+                engineListener.onUnreachable(id, refused);
             }
             finish(Optional.empty());
         }
 
-        private void outOfTime() {
+        private void timeOut() {
             call.reset();
             finish(Optional.empty());
         }
 
         private void finish(Optional<Integer> answered) {
-            underWay.remove(this);
+            inFlight.remove(this);
             timeout.cancel(false);
-            listener.answered(answered, ByteBufUtil.getBytes(body));
+            listener.onAnswer(answered, ByteBufUtil.getBytes(body));
         }
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/EntryFollowers.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/EntryFollowers.java
@@ -27,29 +27,29 @@
     private static final Logger logger = LogManager.getLogger(EntryFollowers.class);
 
     /** An entry host asks again every second. */
-    private static final long FORGET_NANOS = TimeUnit.SECONDS.toNanos(4);
+    private static final long EXPIRY_NANOS = TimeUnit.SECONDS.toNanos(4);
 
     /**
      * What an instance holds changes with orders, of which entry hosts are told apart from this; a
      * heartbeat that shows the same comes up to 1.2 s later.
      */
-    private static final long HOLDINGS_MILLIS = 150;
+    private static final long BATCH_MILLIS = 150;
 
     private final EventLoop loop;
     private final HostId self;
     private final Map<String, Follower> followers = new HashMap<>();
-    private final Map<UpstreamId, Instance> untold = new LinkedHashMap<>();
-    private boolean tellScheduled;
-    private long workToldAt = BootClock.nanos();
-    private int toldCount;
+    private final Map<UpstreamId, Instance> pendingUpdates = new LinkedHashMap<>();
+    private boolean flushScheduled;
+    private long workSentAt = BootClock.nanos();
+    private int reportedCount;
 
     /** An entry host that is told of changes. */
     private static final class Follower {
         private final long connection;
         private Replier replier;
-        private long heardAt;
+        private long followedAt;
         private boolean primary;
-        private final NothingOnce works = new NothingOnce();
+        private final NothingOnce workReports = new NothingOnce();
 
         private Follower(long connection) {
             this.connection = connection;
@@ -67,16 +67,16 @@
      * @return whether it has newly taken this host as its primary, so that it is to be told
      *     everything
      */
-    boolean asked(FleetFollow follow, Replier replier) {
+    boolean recordFollow(FleetFollow follow, Replier replier) {
         Follower known = followers.get(follow.getHost());
-        boolean anew = known == null || known.connection != follow.getConnection();
-        Follower follower = anew ? new Follower(follow.getConnection()) : known;
+        boolean isNew = known == null || known.connection != follow.getConnection();
+        Follower follower = isNew ? new Follower(follow.getConnection()) : known;
         boolean newlyPrimary = follow.getPrimary() && !follower.primary;
         follower.primary = follow.getPrimary();
         follower.replier = replier;
-        follower.heardAt = BootClock.nanos();
+        follower.followedAt = BootClock.nanos();
         followers.put(follow.getHost(), follower);
-        if (anew) {
+        if (isNew) {
             logger.info(
                     "follower.joined host={} version={}",
                     follow.getHost(),
@@ -119,11 +119,11 @@
     }
 
     /** Tells each at once of instances that come, go, drain or serve a further model. */
-    void begun(Collection<Instance> instances) {
+    void sendNow(Collection<Instance> instances) {
         if (instances.isEmpty()) {
             return;
         }
-        instances.forEach(instance -> untold.remove(instance.id()));
+        instances.forEach(instance -> pendingUpdates.remove(instance.id()));
         send(InstanceCodec.frame(instances, false, followers.size()));
     }
 
@@ -131,20 +131,21 @@
      * Tells those that have this host as their primary what else has changed of instances, together
      * with what changes within 150 ms.
      */
-    void changed(Collection<Instance> instances) {
-        instances.forEach(instance -> untold.put(instance.id(), instance));
-        if (!untold.isEmpty() && !tellScheduled) {
-            tellScheduled = true;
-            loop.schedule(this::tellChanges, HOLDINGS_MILLIS, TimeUnit.MILLISECONDS);
+    void sendBatched(Collection<Instance> instances) {
+        instances.forEach(instance -> pendingUpdates.put(instance.id(), instance));
+        if (!pendingUpdates.isEmpty() && !flushScheduled) {
+            flushScheduled = true;
+            loop.schedule(this::flushPending, BATCH_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void tellChanges() {
-        tellScheduled = false;
-        if (!untold.isEmpty()) {
+    private void flushPending() {
+        flushScheduled = false;
+        if (!pendingUpdates.isEmpty()) {
             sendToPrimaries(
-                    InstanceCodec.frame(List.copyOf(untold.values()), false, followers.size()));
-            untold.clear();
+                    InstanceCodec.frame(
+                            List.copyOf(pendingUpdates.values()), false, followers.size()));
+            pendingUpdates.clear();
         }
     }
 
@@ -152,25 +153,25 @@
      * Tells each that has this host as its primary the work of the others, less often the more of
      * them there are.
      */
-    void tellWork(WorkBoard works) {
+    void sendWork(WorkBoard board) {
         long now = BootClock.nanos();
         long primaries = followers.values().stream().filter(one -> one.primary).count();
-        ReportTiming pace = new ReportTiming(Math.toIntExact(primaries));
-        if (now - workToldAt < pace.interval().toNanos()) {
+        ReportTiming timing = new ReportTiming(Math.toIntExact(primaries));
+        if (now - workSentAt < timing.interval().toNanos()) {
             return;
         }
-        workToldAt = now;
-        works.shared(followers.size());
-        followers.forEach((host, follower) -> tellWork(works, new HostId(host), follower, now));
+        workSentAt = now;
+        board.shared(followers.size());
+        followers.forEach((host, follower) -> sendWork(board, new HostId(host), follower, now));
     }
 
     /** What nobody works on is told once. */
-    private void tellWork(WorkBoard works, HostId host, Follower follower, long now) {
+    private void sendWork(WorkBoard board, HostId host, Follower follower, long now) {
         if (!follower.primary) {
             return;
         }
-        Frame others = works.withoutThatOf(host, self, now);
-        if (follower.works.isDue(others.getWork().getWorkCount() > 0)) {
+        Frame others = board.withoutThatOf(host, self, now);
+        if (follower.workReports.isDue(others.getWork().getWorkCount() > 0)) {
             follower.replier.send(others);
         }
     }
@@ -178,10 +179,10 @@
     /** Forgets those that have stopped asking, and tells the others how many are left. */
     void sweep() {
         long now = BootClock.nanos();
-        followers.values().removeIf(follower -> now - follower.heardAt > FORGET_NANOS);
-        if (followers.size() != toldCount && !followers.isEmpty()) {
-            toldCount = followers.size();
-            send(InstanceCodec.frame(List.of(), false, toldCount));
+        followers.values().removeIf(follower -> now - follower.followedAt > EXPIRY_NANOS);
+        if (followers.size() != reportedCount && !followers.isEmpty()) {
+            reportedCount = followers.size();
+            send(InstanceCodec.frame(List.of(), false, reportedCount));
         }
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/EvacuationDesk.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/EvacuationService.java
@@ -16,9 +16,9 @@
  * Has the control group agree on which zones are evacuated, so that this outlives a change of
  * leader and a restart of all hosts, and tells entry hosts. Used on one event loop.
  */
-final class EvacuationDesk {
+final class EvacuationService {
 
-    private static final Logger logger = LogManager.getLogger(EvacuationDesk.class);
+    private static final Logger logger = LogManager.getLogger(EvacuationService.class);
 
     private static final Duration COMMIT_TIMEOUT = Duration.ofSeconds(3);
 
@@ -33,7 +33,7 @@
      * @param toEntryHosts sends a frame to the entry hosts that rely on this one
      * @param onChange told of each newer state
      */
-    EvacuationDesk(
+    EvacuationService(
             ControlGroup group, Consumer<Frame> toEntryHosts, Consumer<EvacuatedZones> onChange) {
         this.group = group;
         this.toEntryHosts = toEntryHosts;
@@ -43,21 +43,21 @@
     /**
      * Orders that a zone is emptied, or used again. Repeated orders change nothing.
      *
-     * @param then told whether the group keeps it, on another thread
+     * @param onOutcome told whether the group keeps it, on another thread
      */
-    void order(ZoneId zone, boolean ends, Consumer<CommandOutcome> then) {
-        byte[] command = ControlLog.evacuationCommand(zone, ends);
+    void order(ZoneId zone, boolean ends, Consumer<CommandOutcome> onOutcome) {
+        byte[] command = ControlStateMachine.evacuationCommand(zone, ends);
         Thread.startVirtualThread(
                 () -> {
                     CommandOutcome outcome = group.command(command, COMMIT_TIMEOUT);
                     logger.info(
                             "evacuation.ordered zone={} ends={} outcome={}", zone, ends, outcome);
-                    then.accept(outcome);
+                    onOutcome.accept(outcome);
                 });
     }
 
     /** Takes over what the group has agreed on. */
-    void committed(EvacuatedZones next) {
+    void applyCommitted(EvacuatedZones next) {
         if (next.revision() > zones.revision()) {
             zones = next;
             onChange.accept(next);
@@ -68,13 +68,13 @@
     /**
      * Tells an entry host what a quorum knows, before it can serve by the routes confirmed with it.
      */
-    void confirmed(EvacuatedZones newest, FleetFollow follow, Replier replier) {
-        committed(newest);
-        followed(follow, replier);
+    void applyConfirmed(EvacuatedZones newest, FleetFollow follow, Replier replier) {
+        applyCommitted(newest);
+        handleFollow(follow, replier);
     }
 
     /** Answers an entry host that knows an older state. */
-    void followed(FleetFollow follow, Replier replier) {
+    void handleFollow(FleetFollow follow, Replier replier) {
         if (follow.getEvacuations() < zones.revision()) {
             replier.send(EvacuationCodec.frame(zones));
         }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/FleetKeeper.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/FleetRegistry.java
@@ -41,15 +41,15 @@
  * Keeps the list of upstreams on a control host, passes what it hears on to the other control
  * hosts, and pushes every change to the entry hosts that follow it. Used on one event loop.
  */
-final class FleetKeeper {
+final class FleetRegistry {
 
-    private static final Logger logger = LogManager.getLogger(FleetKeeper.class);
+    private static final Logger logger = LogManager.getLogger(FleetRegistry.class);
 
     /** Heartbeats may come some seconds late; requests to a dead upstream fail before this. */
     private static final int SILENT_HEARTBEATS = 5;
 
     /** Another writer may send many records a second. */
-    private static final long REFUSAL_LOG_NANOS = TimeUnit.SECONDS.toNanos(5);
+    private static final long REFUSAL_LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     private final EventLoop loop;
     private final PeerTransport transport;
@@ -64,7 +64,7 @@
     private long refusedRecords;
     private long refusalLoggedAt;
 
-    FleetKeeper(EventLoop loop, PeerTransport transport, ControlHosts hosts, Duration heartbeat) {
+    FleetRegistry(EventLoop loop, PeerTransport transport, ControlHosts hosts, Duration heartbeat) {
         this.loop = loop;
         this.transport = transport;
         this.hosts = hosts;
@@ -76,15 +76,15 @@
      * Takes in what an upstream says of itself, and passes it on. One of a service that the
      * configuration does not name is left aside until it does.
      */
-    void heard(Instance instance) {
+    void receive(Instance instance) {
         if (isServed(instance)) {
-            takeIn(List.of(instance), true);
+            merge(List.of(instance), true);
         } else {
-            refused(new Finding(instance.id().toString(), "unknown " + instance.service()));
+            recordRefusal(new Finding(instance.id().toString(), "unknown " + instance.service()));
         }
     }
 
-    /** What is known already is heard on: it may say that it drains while its service goes. */
+    /** What is known already is merged on: it may say that it drains while its service goes. */
     private boolean isServed(Instance instance) {
         return services.isEmpty()
                 || services.contains(instance.service())
@@ -94,10 +94,10 @@
     }
 
     /** Notes a record that describes no upstream; some other program may have written it. */
-    void refused(Finding finding) {
+    void recordRefusal(Finding finding) {
         refusedRecords++;
         long now = BootClock.nanos();
-        if (refusedRecords == 1 || now - refusalLoggedAt >= REFUSAL_LOG_NANOS) {
+        if (refusedRecords == 1 || now - refusalLoggedAt >= REFUSAL_LOG_INTERVAL_NANOS) {
             refusalLoggedAt = now;
             logger.warn("upstream.record-refused count={} {}", refusedRecords, finding);
         }
@@ -109,77 +109,77 @@
     }
 
     /** Takes in that an upstream ends. */
-    void left(UpstreamId id) {
+    void remove(UpstreamId id) {
         List<Instance> changed = table.remove(id);
         logger.info("upstream.left id={} known={}", id, !changed.isEmpty());
-        tellChanged(changed);
+        publish(changed);
     }
 
     /** Takes in that an upstream has said that it leaves, in an answer to some host. */
-    void leaving(UpstreamId id, HostId host) {
+    void drain(UpstreamId id, HostId host) {
         List<Instance> changed = table.drain(id);
         if (!changed.isEmpty()) {
             logger.info("upstream.leaving id={} by={}", id, host);
-            tellChanged(changed);
+            publish(changed);
         }
     }
 
-    /** Takes in what another control host has heard. */
-    void heard(InstancesUpdate update) {
+    /** Takes in what another control host has merged. */
+    void receive(InstancesUpdate update) {
         List<Instance> instances = new ArrayList<>();
         for (InstanceRecord item : update.getInstancesList()) {
-            InstanceCodec.decode(item).peek(instances::add).peekLeft(this::refused);
+            InstanceCodec.decode(item).peek(instances::add).peekLeft(this::recordRefusal);
         }
-        takeIn(instances, false);
+        merge(instances, false);
     }
 
     /** Marks the upstreams that have said nothing for too long; for the leader alone. */
     void expire() {
         List<Instance> changed = table.expire(BootClock.nanos());
-        tellChanged(changed);
+        publish(changed);
     }
 
-    private void tellChanged(List<Instance> changed) {
-        toControlHosts(changed);
-        toEntryHosts(changed, List.of());
+    private void publish(List<Instance> changed) {
+        sendToControlHosts(changed);
+        publishToEntryHosts(changed, List.of());
     }
 
     /** Starts counting silence anew, for a host that may itself have been out of touch. */
-    void refresh() {
+    void restartSilenceTimers() {
         table.restartSilenceTimers(BootClock.nanos());
     }
 
     /**
      * Answers an entry host that follows, and remembers it.
      *
-     * @param first what a host is told that newly relies on this one, before it can serve
+     * @param initialFrames what a host is told that newly relies on this one, before it can serve
      */
-    void followed(FleetFollow follow, Replier replier, Supplier<List<Frame>> first) {
-        if (followers.asked(follow, replier)) {
-            first.get().forEach(replier::send);
-            replier.send(whole());
+    void handleFollow(FleetFollow follow, Replier replier, Supplier<List<Frame>> initialFrames) {
+        if (followers.recordFollow(follow, replier)) {
+            initialFrames.get().forEach(replier::send);
+            replier.send(fullUpdate());
         }
         if (follow.getRoutesVersion() < routes.getVersion()) {
-            replier.send(routes(follow));
+            replier.send(routesFor(follow));
         }
     }
 
     /**
-     * Only its primary tells an entry host the whole configuration, the others its version: told by
+     * Only its primary tells an entry host the full configuration, the others its version: told by
      * each of six control hosts, one of 30 KB took 16 MB on its way to 89 entry hosts (reckoned).
      */
-    private Frame routes(FleetFollow follow) {
-        boolean whole = follow.getPrimary() || follow.getWantsRoutes();
-        return frame(whole ? wholeRoutes() : routesVersion());
+    private Frame routesFor(FleetFollow follow) {
+        boolean full = follow.getPrimary() || follow.getWantsRoutes();
+        return frame(full ? fullRoutes() : routesVersion());
     }
 
     /** Tells an entry host the routes as a quorum has just confirmed them. */
-    void confirm(Confirmations.Ask ask) {
-        FleetFollow follow = ask.follow();
-        boolean lacks = follow.getRoutesVersion() < routes.getVersion();
-        boolean whole = lacks && (follow.getPrimary() || follow.getWantsRoutes());
-        RoutesUpdate.Builder update = whole ? wholeRoutes() : routesVersion();
-        ask.replier().send(frame(update.setConfirmed(true).setAskedAt(follow.getAskedAt())));
+    void sendConfirmation(RoutesConfirmationService.ConfirmationRequest request) {
+        FleetFollow follow = request.follow();
+        boolean outdated = follow.getRoutesVersion() < routes.getVersion();
+        boolean full = outdated && (follow.getPrimary() || follow.getWantsRoutes());
+        RoutesUpdate.Builder update = full ? fullRoutes() : routesVersion();
+        request.replier().send(frame(update.setConfirmed(true).setAskedAt(follow.getAskedAt())));
     }
 
     /**
@@ -187,7 +187,7 @@
      *
      * @return whether it is a newer one
      */
-    boolean takeRoutes(ControlSnapshot next) {
+    boolean applyRoutes(ControlSnapshot next) {
         if (next.getVersion() <= routes.getVersion()) {
             return false;
         }
@@ -199,34 +199,34 @@
         routes = next;
         decodeRoutes();
         packedRoutes = RoutesCodec.pack(routes.getBody());
-        followers.sendToPrimaries(frame(wholeRoutes()));
+        followers.sendToPrimaries(frame(fullRoutes()));
         followers.sendToOthers(frame(routesVersion()));
         return true;
     }
 
     /** Tells every entry host what an instance holds now, or is about to hold no more. */
-    void residency(ResidencyChange change) {
-        tellOthers(Frame.newBuilder().setResidency(change).build());
+    void publishResidency(ResidencyChange change) {
+        broadcast(Frame.newBuilder().setResidency(change).build());
     }
 
     /** Passes on what the giver of orders has said to the entry hosts that rely on this host. */
-    void passOn(Frame frame) {
+    void sendToEntryHosts(Frame frame) {
         followers.sendToPrimaries(frame);
     }
 
     /** Sends a frame to the other control hosts and to the entry hosts that rely on this one. */
-    void tellOthers(Frame frame) {
-        toControlHosts(frame);
-        passOn(frame);
+    void broadcast(Frame frame) {
+        sendToControlHosts(frame);
+        sendToEntryHosts(frame);
     }
 
     /** Returns whether another control host is in reach. */
-    boolean reaches(HostId host) {
+    boolean isReachable(HostId host) {
         return transport.connected(host);
     }
 
     /** Tells the entry hosts that rely on this host that it knows of no leader. */
-    void outOfTouch() {
+    void notifyOutOfTouch() {
         followers.sendToPrimaries(
                 Frame.newBuilder()
                         .setInstances(InstancesUpdate.newBuilder().setOutOfTouch(true))
@@ -239,8 +239,8 @@
     }
 
     /** Tells another control host everything. */
-    void tellAll(Replier replier) {
-        replier.send(whole());
+    void sendAll(Replier replier) {
+        replier.send(fullUpdate());
     }
 
     Collection<Instance> instances() {
@@ -265,43 +265,43 @@
         return loop;
     }
 
-    private void takeIn(List<Instance> instances, boolean direct) {
-        List<Instance> heard = new ArrayList<>();
-        List<Instance> changed = new ArrayList<>();
-        List<Instance> begun = new ArrayList<>();
+    private void merge(List<Instance> instances, boolean fromUpstream) {
+        List<Instance> merged = new ArrayList<>();
+        List<Instance> batched = new ArrayList<>();
+        List<Instance> urgent = new ArrayList<>();
         for (Instance instance : instances) {
             Optional<Instance> before = table.find(instance.id());
             for (Instance after : table.merge(instance, BootClock.nanos())) {
-                heard.add(after);
+                merged.add(after);
                 switch (UpdateUrgency.of(before, after)) {
-                    case URGENT -> begun.add(after);
-                    case BATCHED -> changed.add(after);
+                    case URGENT -> urgent.add(after);
+                    case BATCHED -> batched.add(after);
                     case NONE -> {
                         // Only its sequence has risen.
                     }
                 }
             }
         }
-        toControlHosts(direct ? heard : List.of());
-        toEntryHosts(begun, changed);
+        sendToControlHosts(fromUpstream ? merged : List.of());
+        publishToEntryHosts(urgent, batched);
     }
 
-    private void toControlHosts(List<Instance> heard) {
-        if (!heard.isEmpty()) {
-            toControlHosts(InstanceCodec.frame(heard, false, followers.count()));
+    private void sendToControlHosts(List<Instance> merged) {
+        if (!merged.isEmpty()) {
+            sendToControlHosts(InstanceCodec.frame(merged, false, followers.count()));
         }
     }
 
     /** Sends a frame to the other control hosts. */
-    void toControlHosts(Frame frame) {
+    void sendToControlHosts(Frame frame) {
         hosts.all().forEach(host -> transport.send(host, frame));
     }
 
-    private void toEntryHosts(List<Instance> begun, List<Instance> changed) {
-        begun.forEach(FleetKeeper::log);
-        changed.forEach(FleetKeeper::log);
-        followers.begun(begun);
-        followers.changed(changed);
+    private void publishToEntryHosts(List<Instance> urgent, List<Instance> batched) {
+        urgent.forEach(FleetRegistry::log);
+        batched.forEach(FleetRegistry::log);
+        followers.sendNow(urgent);
+        followers.sendBatched(batched);
     }
 
     private static void log(Instance instance) {
@@ -319,7 +319,7 @@
 
     private void decodeRoutes() {
         ConfigurationDecoder.decode(routes.getBody().toByteArray())
-                .peek(this::takeTable)
+                .peek(this::setRouteTable)
                 .peekLeft(
                         finding ->
                                 logger.error(
@@ -328,16 +328,16 @@
                                         finding));
     }
 
-    private void takeTable(RouteTable next) {
+    private void setRouteTable(RouteTable next) {
         routeTable = Optional.of(next);
         services = next.services().stream().map(ServiceEntry::name).collect(Collectors.toSet());
     }
 
-    private Frame whole() {
+    private Frame fullUpdate() {
         return InstanceCodec.frame(table.all(), true, followers.count());
     }
 
-    private RoutesUpdate.Builder wholeRoutes() {
+    private RoutesUpdate.Builder fullRoutes() {
         return routesVersion().setPackedBody(packedRoutes);
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/control/LimitDesk.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/LimitService.java
@@ -31,45 +31,47 @@
  * Keeps the limits that upstreams name on a control host, and grants permits while it leads. Used
  * on one event loop.
  */
-final class LimitDesk {
+final class LimitService {
 
-    private static final Logger logger = LogManager.getLogger(LimitDesk.class);
+    private static final Logger logger = LogManager.getLogger(LimitService.class);
 
     /** A request that waits for a permit of an upstream is sent this much later at most. */
-    private static final long GRANT_MILLIS = 20;
+    private static final long GRANT_INTERVAL_MILLIS = 20;
 
     private final ControlGroup group;
-    private final FleetKeeper fleet;
+    private final FleetRegistry fleet;
     private final HostId self;
-    private final LimitManager keeper = new LimitManager();
-    private final Map<HostId, Replier> asking = new HashMap<>();
+    private final LimitManager manager = new LimitManager();
+    private final Map<HostId, Replier> permitRepliers = new HashMap<>();
     private boolean leading;
-    private boolean granting;
+    private boolean grantScheduled;
 
     /** A limit in force, as an operator is told. */
     private record Listed(String upstream, double perSecond, boolean ending) {
-        static Listed of(LimitUpdate word) {
+        static Listed of(LimitUpdate update) {
             return new Listed(
-                    word.upstream().toString(), word.perSecond().orElseThrow(), word.ending());
+                    update.upstream().toString(),
+                    update.perSecond().orElseThrow(),
+                    update.ending());
         }
     }
 
     /** All limits in force, and the upstreams that leave. */
     private record Listing(List<Listed> limits, List<String> leaving) {}
 
-    LimitDesk(ControlGroup group, FleetKeeper fleet, HostId self) {
+    LimitService(ControlGroup group, FleetRegistry fleet, HostId self) {
         this.group = group;
         this.fleet = fleet;
         this.self = self;
     }
 
     /** Takes in whether this host leads the control group from now on. */
-    void led(boolean leads) {
+    void setLeading(boolean leads) {
         leading = leads;
-        asking.clear();
+        permitRepliers.clear();
         if (leads) {
-            keeper.lead(group.view().term(), BootClock.nanos());
-            keepGranting();
+            manager.lead(group.view().term(), BootClock.nanos());
+            scheduleGrant();
         }
     }
 
@@ -78,23 +80,26 @@
     }
 
     /** Takes in that an entry host has reported. */
-    void followed(HostId host) {
-        keeper.hostReported(host, BootClock.nanos());
+    void handleFollow(HostId host) {
+        manager.hostReported(host, BootClock.nanos());
     }
 
-    /** Takes in what whoever leads says, and passes on what is news. */
-    void told(LimitWords words) {
-        List<LimitUpdate> news = LimitCodec.words(words).stream().filter(keeper::receive).toList();
-        if (!news.isEmpty()) {
-            log(news, "");
-            fleet.passOn(LimitCodec.words(news));
+    /** Takes in what whoever leads says, and passes on what is newer. */
+    void receive(LimitWords updates) {
+        List<LimitUpdate> newer =
+                LimitCodec.words(updates).stream().filter(manager::receive).toList();
+        if (!newer.isEmpty()) {
+            log(newer, "");
+            fleet.sendToEntryHosts(LimitCodec.words(newer));
         }
     }
 
     /** Takes in what an upstream has told an entry host. */
-    void heard(LimitHeard heard) {
+    void handleObservation(LimitHeard message) {
         if (leads()) {
-            tell(keeper.observe(LimitCodec.heard(heard), BootClock.nanos()), heard.getHost());
+            publish(
+                    manager.observe(LimitCodec.heard(message), BootClock.nanos()),
+                    message.getHost());
         }
     }
 
@@ -102,80 +107,83 @@
      * Takes in what an upstream has told this host itself. Answers to a control host's calls need
      * not name a limit for it to be in force.
      */
-    void heardHere(UpstreamId upstream, double perSecond) {
+    void observeLocally(UpstreamId upstream, double perSecond) {
         if (leads()) {
-            LimitObservation heard =
+            LimitObservation observation =
                     new LimitObservation(
                             upstream,
                             OptionalDouble.of(perSecond),
-                            keeper.table().find(upstream).revision());
-            tell(keeper.observe(heard, BootClock.nanos()), self.value());
+                            manager.table().find(upstream).revision());
+            publish(manager.observe(observation, BootClock.nanos()), self.value());
         }
     }
 
     /** Takes in what an entry host would send. */
-    void asked(PermitAsk ask, Replier replier) {
+    void handlePermitRequest(PermitAsk message, Replier replier) {
         if (!leads()) {
             return;
         }
-        LimitUpdate known = LimitCodec.known(ask);
-        if (keeper.receive(known)) {
-            tell(List.of(known), ask.getHost());
+        LimitUpdate known = LimitCodec.known(message);
+        if (manager.receive(known)) {
+            publish(List.of(known), message.getHost());
         }
-        PermitRequest want = LimitCodec.want(ask);
-        asking.put(want.host(), replier);
-        answer(keeper.request(want, BootClock.nanos()));
-        keepGranting();
+        PermitRequest request = LimitCodec.want(message);
+        permitRepliers.put(request.host(), replier);
+        answer(manager.request(request, BootClock.nanos()));
+        scheduleGrant();
     }
 
     /** Looks again and again while there are limits; without any, no timer wakes this host. */
-    private void keepGranting() {
-        if (!granting && leads() && !keeper.table().inForce().isEmpty()) {
-            granting = true;
-            fleet.loop().schedule(this::grantAgain, GRANT_MILLIS, TimeUnit.MILLISECONDS);
+    private void scheduleGrant() {
+        if (!grantScheduled && leads() && !manager.table().inForce().isEmpty()) {
+            grantScheduled = true;
+            fleet.loop()
+                    .schedule(
+                            this::grantAndReschedule, GRANT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void grantAgain() {
-        granting = false;
+    private void grantAndReschedule() {
+        grantScheduled = false;
         try {
             grant();
         } finally {
-            keepGranting();
+            scheduleGrant();
         }
     }
 
     /** Grants what there is room for, and lets limits that have ended go. */
     private void grant() {
         if (leads()) {
-            LimitManager.Decisions step = keeper.advance(BootClock.nanos());
-            tell(step.updates(), "");
-            answer(step.answers());
+            LimitManager.Decisions decisions = manager.advance(BootClock.nanos());
+            publish(decisions.updates(), "");
+            answer(decisions.answers());
         }
     }
 
     /** Forgets the limits of upstreams that are gone. */
     void sweep() {
-        if (!keeper.table().all().isEmpty()) {
-            keeper.retain(fleet.instances().stream().map(Instance::id).collect(Collectors.toSet()));
+        if (!manager.table().all().isEmpty()) {
+            manager.retain(
+                    fleet.instances().stream().map(Instance::id).collect(Collectors.toSet()));
         }
     }
 
     /** Returns all that is known, for a host that may know nothing. */
-    Frame whole() {
-        return LimitCodec.words(keeper.table().all());
+    Frame fullUpdate() {
+        return LimitCodec.words(manager.table().all());
     }
 
     /** Returns the upstreams that have a limit. */
-    Set<UpstreamId> limited() {
-        return keeper.table().inForce().stream()
+    Set<UpstreamId> limitedUpstreams() {
+        return manager.table().inForce().stream()
                 .map(LimitUpdate::upstream)
                 .collect(Collectors.toSet());
     }
 
     /** Returns the limits in force, and which upstreams leave, as JSON for an operator. */
-    byte[] listed() {
-        List<Listed> all = keeper.table().inForce().stream().map(Listed::of).toList();
+    byte[] limitsJson() {
+        List<Listed> all = manager.table().inForce().stream().map(Listed::of).toList();
         List<String> leaving =
                 fleet.instances().stream()
                         .filter(instance -> instance.state() == InstanceState.DRAINING)
@@ -184,23 +192,23 @@
         return Json.write(Listing.class, new Listing(all, leaving));
     }
 
-    private void tell(List<LimitUpdate> words, String by) {
-        if (!words.isEmpty()) {
-            log(words, by);
-            fleet.tellOthers(LimitCodec.words(words));
-            keepGranting();
+    private void publish(List<LimitUpdate> updates, String reporter) {
+        if (!updates.isEmpty()) {
+            log(updates, reporter);
+            fleet.broadcast(LimitCodec.words(updates));
+            scheduleGrant();
         }
     }
 
-    private static void log(List<LimitUpdate> words, String by) {
-        for (LimitUpdate word : words) {
-            logger.info("upstream.limit-told {} by={}", word.fields(), by);
+    private static void log(List<LimitUpdate> updates, String reporter) {
+        for (LimitUpdate update : updates) {
+            logger.info("upstream.limit-told {} by={}", update.fields(), reporter);
         }
     }
 
     private void answer(List<PermitAnswer> answers) {
         for (PermitAnswer answer : answers) {
-            Replier replier = asking.get(answer.host());
+            Replier replier = permitRepliers.get(answer.host());
             if (replier != null) {
                 replier.send(LimitCodec.reply(answer, self));
             }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/OperatorCalls.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/OperatorApi.java
@@ -6,21 +6,21 @@
 import java.util.function.Consumer;
 
 /** An operator's calls about what this system has found out by itself. */
-final class OperatorCalls {
+final class OperatorApi {
 
     private final EventLoop loop;
-    private final SentenceCalls sentences;
-    private final LimitDesk limits;
+    private final RefusedRequestsApi sentences;
+    private final LimitService limits;
 
-    OperatorCalls(EventLoop loop, SentenceCalls sentences, LimitDesk limits) {
+    OperatorApi(EventLoop loop, RefusedRequestsApi sentences, LimitService limits) {
         this.loop = loop;
         this.sentences = sentences;
         this.limits = limits;
     }
 
     /** Returns whether a path is one of these calls. */
-    static boolean names(String path) {
-        return path.equals(OperatorPaths.UPSTREAM_LIMITS) || SentenceCalls.names(path);
+    static boolean handles(String path) {
+        return path.equals(OperatorPaths.UPSTREAM_LIMITS) || RefusedRequestsApi.handles(path);
     }
 
     /**
@@ -29,11 +29,11 @@
      * @param body of a POST, who asks
      * @param answer told the outcome, on any thread
      */
-    void call(HttpMethod method, String path, byte[] body, Consumer<AnswerServer.Answer> answer) {
+    void handle(HttpMethod method, String path, byte[] body, Consumer<AnswerServer.Answer> answer) {
         if (path.equals(OperatorPaths.UPSTREAM_LIMITS)) {
-            loop.execute(() -> answer.accept(SentenceCalls.ok(limits.listed())));
+            loop.execute(() -> answer.accept(RefusedRequestsApi.ok(limits.limitsJson())));
         } else {
-            sentences.call(method, path, body, answer);
+            sentences.handle(method, path, body, answer);
         }
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/OrderGiver.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/OrderIssuer.java
@@ -46,9 +46,9 @@
  * <p>It begins only after its taking over is committed and the pause after a predecessor is over;
  * each order is written only while the leader's lease holds at that very moment.
  */
-final class OrderGiver {
+final class OrderIssuer {
 
-    private static final Logger logger = LogManager.getLogger(OrderGiver.class);
+    private static final Logger logger = LogManager.getLogger(OrderIssuer.class);
 
     /** An adapter arrives some 6 to 20 ms after its order is taken, later while many come. */
     private static final long ADAPTER_ARRIVAL_MILLIS = 40;
@@ -60,35 +60,36 @@
 
     private final FleetSettings settings;
     private final ControlGroup group;
-    private final FleetKeeper fleet;
-    private final LimitDesk limits;
-    private final EngineCalls calls;
-    private final ResidencyManager keeper;
+    private final FleetRegistry fleet;
+    private final LimitService limits;
+    private final EngineClient engines;
+    private final ResidencyManager manager;
     private long routesVersion = -1;
     private boolean leading;
-    private boolean taken;
+    private boolean takenOver;
     private final OrderHandover handover;
     private Optional<HostId> predecessor = Optional.empty();
     private long electedAt;
-    private boolean begun;
+    private boolean issuing;
     private long fence;
 
-    OrderGiver(
+    OrderIssuer(
             FleetSettings settings,
             ControlGroup group,
-            FleetKeeper fleet,
-            LimitDesk limits,
+            FleetRegistry fleet,
+            LimitService limits,
             UpstreamClient upstreams) {
         this.settings = settings;
         this.group = group;
         this.fleet = fleet;
         this.limits = limits;
-        this.calls = new EngineCalls(fleet.loop(), upstreams, this::active, new Calling());
+        this.engines =
+                new EngineClient(fleet.loop(), upstreams, this::isActive, new EngineEvents());
         this.handover =
                 new OrderHandover(
                         settings.limits().fenceChecked(),
                         settings.limits().orderPause().plus(PAUSE_MARGIN));
-        this.keeper =
+        this.manager =
                 new ResidencyManager(
                         PlacementPolicy.of(PolicyName.NEAREST_COPY),
                         settings.limits().storeWindow(),
@@ -99,35 +100,35 @@
      * This host has begun or ceased to lead. Orders of an earlier leadership that a cut holds up
      * must not come to an engine behind those of the next.
      */
-    void led(boolean now, ControlSnapshot before) {
-        calls.cancelAll();
-        leading = now;
-        taken = false;
-        begun = false;
-        if (now) {
-            takeOver(before);
+    void setLeading(boolean leads, ControlSnapshot previous) {
+        engines.cancelAll();
+        leading = leads;
+        takenOver = false;
+        issuing = false;
+        if (leads) {
+            takeOver(previous);
         }
     }
 
     /** Takes over in which zones engines serve nobody. */
-    void evacuated(EvacuatedZones zones) {
-        keeper.setEvacuatedZones(zones);
+    void setEvacuatedZones(EvacuatedZones zones) {
+        manager.setEvacuatedZones(zones);
     }
 
     /** Does what is due. */
     void tick() {
-        if (!active()) {
+        if (!isActive()) {
             return;
         }
-        takeRoutes();
+        updateEngineSpecs();
         long now = BootClock.nanos();
-        keeper.updateInstances(fleet.instances(), now);
-        keeper.setLimitedEngines(limits.limited());
-        carryOut(keeper.step(now));
+        manager.updateInstances(fleet.instances(), now);
+        manager.setLimitedEngines(limits.limitedUpstreams());
+        execute(manager.step(now));
     }
 
     /** Takes in an entry host's counts. */
-    void demanded(DemandReport report) {
+    void recordDemand(DemandReport report) {
         Map<ModelId, Integer> arrivals = new HashMap<>();
         Map<ModelId, Integer> waiting = new HashMap<>();
         long now = BootClock.nanos();
@@ -137,117 +138,122 @@
             arrivals.merge(new ModelId(model), count.getArrivals(), Integer::sum);
             waiting.merge(new ModelId(model), count.getWaiting(), Integer::sum);
             if (slash >= 0 && count.getArrivals() > 0) {
-                keeper.recordAdapterUse(
+                manager.recordAdapterUse(
                         new ModelId(model), count.getModel().substring(slash + 1), now);
             }
         }
-        keeper.recordDemand(new HostId(report.getHost()), arrivals, waiting, now);
+        manager.recordDemand(new HostId(report.getHost()), arrivals, waiting, now);
     }
 
     /** Takes in what an entry host says of its work at instances. */
-    void worked(Map<UpstreamId, InstanceWork> work) {
-        keeper.recordWork(work, BootClock.nanos());
+    void recordWork(Map<UpstreamId, InstanceWork> work) {
+        manager.recordWork(work, BootClock.nanos());
     }
 
     /** Takes in that an entry host cannot connect to an instance. */
-    void unreachable(InstanceUnreachable told) {
+    void recordUnreachable(InstanceUnreachable report) {
         logger.info(
                 "upstream.unreachable id={} by={} refused={}",
-                told.getInstance(),
-                told.getHost(),
-                told.getRefused());
-        keeper.recordConnectFailure(
-                UpstreamId.parse(told.getInstance()),
-                new HostId(told.getHost()),
-                told.getRefused());
+                report.getInstance(),
+                report.getHost(),
+                report.getRefused());
+        manager.recordConnectFailure(
+                UpstreamId.parse(report.getInstance()),
+                new HostId(report.getHost()),
+                report.getRefused());
     }
 
     /** Hears what becomes of calls to engines. */
-    private final class Calling implements EngineCalls.CallWatcher {
+    private final class EngineEvents implements EngineClient.EngineListener {
         @Override
-        public void limited(UpstreamId id, double perSecond) {
-            limits.heardHere(id, perSecond);
+        public void onLimit(UpstreamId id, double perSecond) {
+            limits.observeLocally(id, perSecond);
         }
 
         @Override
-        public void wantsRest(UpstreamId id, Duration time) {
+        public void onRest(UpstreamId id, Duration time) {
             logger.info("upstream.rest-heard id={} restMs={}", id, time.toMillis());
-            keeper.recordRest(id, time, BootClock.nanos());
+            manager.recordRest(id, time, BootClock.nanos());
         }
 
         @Override
-        public void leaving(UpstreamId id) {
-            fleet.leaving(id, settings.peerName());
+        public void onLeaving(UpstreamId id) {
+            fleet.drain(id, settings.peerName());
         }
 
         @Override
-        public void unreachable(UpstreamId id, boolean refused) {
-            keeper.recordConnectFailure(id, settings.peerName(), refused);
+        public void onUnreachable(UpstreamId id, boolean refused) {
+            manager.recordConnectFailure(id, settings.peerName(), refused);
         }
     }
 
     /** Takes in that requests wait for an adapter. */
-    void wanted(AdapterWanted wanted) {
-        if (active()) {
-            keeper.requestAdapter(
-                    UpstreamId.parse(wanted.getInstance()),
-                    new ModelId(wanted.getModel()),
-                    wanted.getAdapter(),
+    void requestAdapter(AdapterWanted message) {
+        if (isActive()) {
+            manager.requestAdapter(
+                    UpstreamId.parse(message.getInstance()),
+                    new ModelId(message.getModel()),
+                    message.getAdapter(),
                     BootClock.nanos());
-            carryOut(keeper.step(BootClock.nanos()));
+            execute(manager.step(BootClock.nanos()));
         }
     }
 
-    private boolean active() {
-        if (!leading || !taken || !group.leads()) {
+    private boolean isActive() {
+        if (!leading || !takenOver || !group.leads()) {
             return false;
         }
-        if (!begun && handover.mayIssueOrders(knownOfPredecessor(), electedAt, BootClock.nanos())) {
-            begun = true;
-            logger.info("orders.begin fence={} predecessor={}", fence, knownOfPredecessor());
+        if (!issuing
+                && handover.mayIssueOrders(
+                        predecessorReachability(), electedAt, BootClock.nanos())) {
+            issuing = true;
+            logger.info("orders.begin fence={} predecessor={}", fence, predecessorReachability());
         }
-        return begun;
+        return issuing;
     }
 
-    private OrderHandover.Predecessor knownOfPredecessor() {
+    private OrderHandover.Predecessor predecessorReachability() {
         return predecessor
                 .map(
                         host ->
-                                fleet.reaches(host)
+                                fleet.isReachable(host)
                                         ? OrderHandover.Predecessor.REACHABLE
                                         : OrderHandover.Predecessor.UNREACHABLE)
                 .orElse(OrderHandover.Predecessor.NONE);
     }
 
-    private void takeOver(ControlSnapshot before) {
+    private void takeOver(ControlSnapshot previous) {
         long term = group.view().term();
         String self = settings.peerName().value();
-        boolean afterAnother = !before.getHolder().isEmpty() && !before.getHolder().equals(self);
-        predecessor = afterAnother ? Optional.of(new HostId(before.getHolder())) : Optional.empty();
+        boolean afterAnother =
+                !previous.getHolder().isEmpty() && !previous.getHolder().equals(self);
+        predecessor =
+                afterAnother ? Optional.of(new HostId(previous.getHolder())) : Optional.empty();
         electedAt = BootClock.nanos();
         Thread.startVirtualThread(
                 () -> {
                     CommandOutcome outcome =
                             group.command(
-                                    ControlLog.takeOverCommand(self, term), TAKE_OVER_TIMEOUT);
+                                    ControlStateMachine.takeOverCommand(self, term),
+                                    TAKE_OVER_TIMEOUT);
                     logger.info(
                             "orders.take-over term={} before={} outcome={}",
                             term,
-                            before.getHolder(),
+                            previous.getHolder(),
                             outcome);
-                    fleet.loop().execute(() -> begin(outcome, term, afterAnother));
+                    fleet.loop().execute(() -> completeTakeOver(outcome, term, afterAnother));
                 });
     }
 
-    private void begin(CommandOutcome outcome, long term, boolean afterAnother) {
+    private void completeTakeOver(CommandOutcome outcome, long term, boolean afterAnother) {
         if (outcome instanceof CommandOutcome.Done && leading && group.view().term() == term) {
             fence = term;
-            taken = true;
-            keeper.restart(afterAnother, BootClock.nanos());
+            takenOver = true;
+            manager.restart(afterAnother, BootClock.nanos());
         }
     }
 
-    private void takeRoutes() {
+    private void updateEngineSpecs() {
         Optional<RouteTable> newer =
                 fleet.routeTable().filter(table -> table.version() > routesVersion);
         if (newer.isEmpty()) {
@@ -261,17 +267,18 @@
                         service ->
                                 service.engine()
                                         .ifPresent(engine -> specs.put(service.name(), engine)));
-        keeper.setSpecs(specs);
+        manager.setSpecs(specs);
     }
 
-    private void carryOut(List<ResidencyEffect> effects) {
+    private void execute(List<ResidencyEffect> effects) {
         for (ResidencyEffect effect : effects) {
             switch (effect) {
                 case ResidencyEffect.Send(EngineOrder order) -> send(order);
-                case ResidencyEffect.ReadReport(UpstreamId id, String address) -> read(id, address);
-                case ResidencyEffect.NotifyResidency tell -> tell(tell);
+                case ResidencyEffect.ReadReport(UpstreamId id, String address) ->
+                        readReport(id, address);
+                case ResidencyEffect.NotifyResidency notice -> publishResidency(notice);
                 case ResidencyEffect.NotifyLoading(UpstreamId id, ModelId model, Duration within) ->
-                        fleet.residency(
+                        fleet.publishResidency(
                                 ResidencyChange.newBuilder()
                                         .setInstance(id.toString())
                                         .setModel(model.value())
@@ -281,22 +288,22 @@
         }
     }
 
-    private void tell(ResidencyEffect.NotifyResidency tell) {
+    private void publishResidency(ResidencyEffect.NotifyResidency notice) {
         ResidencyChange change =
                 ResidencyChange.newBuilder()
-                        .setInstance(tell.instance().toString())
-                        .setModel(tell.model().value())
-                        .setAdapter(tell.adapter().orElse(""))
-                        .setResident(tell.resident())
+                        .setInstance(notice.instance().toString())
+                        .setModel(notice.model().value())
+                        .setAdapter(notice.adapter().orElse(""))
+                        .setResident(notice.resident())
                         .build();
-        if (tell.resident()) {
+        if (notice.resident()) {
             fleet.loop()
                     .schedule(
-                            () -> fleet.residency(change),
+                            () -> fleet.publishResidency(change),
                             ADAPTER_ARRIVAL_MILLIS,
                             TimeUnit.MILLISECONDS);
         } else {
-            fleet.residency(change);
+            fleet.publishResidency(change);
         }
     }
 
@@ -309,16 +316,16 @@
                         settings.peerName(),
                         fence,
                         Optional.of(order.expectedTaken()));
-        calls.post(
+        engines.post(
                 order.instance(),
                 order.address(),
                 Calls.ORDER,
                 body,
-                (status, answer) -> orderAnswered(order, status));
+                (status, answer) -> handleOrderAnswer(order, status));
     }
 
-    private void orderAnswered(EngineOrder order, Optional<Integer> status) {
-        EngineAnswer answer = status.map(OrderGiver::meaning).orElse(EngineAnswer.UNKNOWN);
+    private void handleOrderAnswer(EngineOrder order, Optional<Integer> status) {
+        EngineAnswer answer = status.map(OrderIssuer::answerOf).orElse(EngineAnswer.UNKNOWN);
         logger.info(
                 "order.answered instance={} load={} model={} adapter={} expectedTaken={}"
                         + " fromStore={} fence={} status={} answer={}",
@@ -331,16 +338,17 @@
                 fence,
                 status.orElse(0),
                 answer);
-        if (active()) {
-            carryOut(keeper.onAnswer(order, answer, BootClock.nanos()));
+        if (isActive()) {
+            execute(manager.onAnswer(order, answer, BootClock.nanos()));
         }
     }
 
-    private void read(UpstreamId id, String address) {
-        calls.get(id, address, Calls.REPORT, (status, answer) -> reportRead(id, status, answer));
+    private void readReport(UpstreamId id, String address) {
+        engines.get(
+                id, address, Calls.REPORT, (status, answer) -> handleReport(id, status, answer));
     }
 
-    private void reportRead(UpstreamId id, Optional<Integer> status, byte[] answer) {
+    private void handleReport(UpstreamId id, Optional<Integer> status, byte[] answer) {
         long now = BootClock.nanos();
         Either<Finding, EngineReport> report =
                 status.equals(Optional.of(200))
@@ -348,10 +356,10 @@
                         : Either.left(new Finding("report", "status " + status));
         if (report.isLeft()) {
             logger.info("report.unread instance={} {}", id, report.getLeft());
-            keeper.onReportFailed(id, now);
+            manager.onReportFailed(id, now);
             return;
         }
-        keeper.onReport(id, report.get(), now);
+        manager.onReport(id, report.get(), now);
         logger.info(
                 "report.read instance={} ordersTaken={} busy={}",
                 id,
@@ -359,7 +367,7 @@
                 report.get().busy());
     }
 
-    private static EngineAnswer meaning(int status) {
+    private static EngineAnswer answerOf(int status) {
         return switch (status) {
             case 202 -> EngineAnswer.TAKEN;
             case 200 -> EngineAnswer.HOLDS;
--- a/stackhall-server/src/main/java/io/stackhall/server/control/SentenceCalls.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/RefusedRequestsApi.java
@@ -14,22 +14,22 @@
  * An operator's calls about requests that are refused because instances end under them: GET lists
  * them, and a POST to one of them has it served again.
  */
-final class SentenceCalls {
+final class RefusedRequestsApi {
 
     private static final String ALL = OperatorPaths.REFUSED_REQUESTS;
     private static final String ONE = OperatorPaths.refusedRequest("");
-    private static final int MOST_NAME_CHARACTERS = 100;
+    private static final int MAX_OPERATOR_NAME_CHARACTERS = 100;
 
     private final EventLoop loop;
-    private final CrashKeeper crashes;
+    private final CrashTracker crashes;
 
-    SentenceCalls(EventLoop loop, CrashKeeper crashes) {
+    RefusedRequestsApi(EventLoop loop, CrashTracker crashes) {
         this.loop = loop;
         this.crashes = crashes;
     }
 
     /** Returns whether a path is one of these calls. */
-    static boolean names(String path) {
+    static boolean handles(String path) {
         return path.equals(ALL) || path.startsWith(ONE);
     }
 
@@ -39,16 +39,16 @@
      * @param body of a POST, who asks
      * @param answer told the outcome, on any thread
      */
-    void call(HttpMethod method, String path, byte[] body, Consumer<AnswerServer.Answer> answer) {
+    void handle(HttpMethod method, String path, byte[] body, Consumer<AnswerServer.Answer> answer) {
         if (path.equals(ALL)) {
-            loop.execute(() -> answer.accept(ok(crashes.refused())));
+            loop.execute(() -> answer.accept(ok(crashes.refusedRequestsJson())));
             return;
         }
         Optional<RequestDigest> request = RequestDigest.parse(path.substring(ONE.length()));
         String operator = new String(body, StandardCharsets.UTF_8).strip();
         if (!method.equals(HttpMethod.POST) || request.isEmpty()) {
             answer.accept(answer(HttpResponseStatus.NOT_FOUND));
-        } else if (operator.isEmpty() || operator.length() > MOST_NAME_CHARACTERS) {
+        } else if (operator.isEmpty() || operator.length() > MAX_OPERATOR_NAME_CHARACTERS) {
             answer.accept(answer(HttpResponseStatus.BAD_REQUEST));
         } else {
             loop.execute(
--- a/stackhall-server/src/main/java/io/stackhall/server/control/Confirmations.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/RoutesConfirmationService.java
@@ -17,9 +17,9 @@
  * question is under way waits for the next, so that the quorum answers few questions however many
  * hosts ask. Used on one event loop.
  */
-final class Confirmations {
+final class RoutesConfirmationService {
 
-    private static final Logger logger = LogManager.getLogger(Confirmations.class);
+    private static final Logger logger = LogManager.getLogger(RoutesConfirmationService.class);
 
     private static final Duration TIMEOUT = Duration.ofMillis(900);
 
@@ -27,17 +27,17 @@
     private final ControlGroup group;
     private final LongSupplier heldVersion;
     private final Listener listener;
-    private List<Ask> waiting = new ArrayList<>();
-    private boolean asking;
+    private List<ConfirmationRequest> waiting = new ArrayList<>();
+    private boolean queryInProgress;
 
-    /** An entry host that asks, and the way back to it. */
-    record Ask(FleetFollow follow, Replier replier) {}
+    /** An entry host that requests, and the way back to it. */
+    record ConfirmationRequest(FleetFollow follow, Replier replier) {}
 
     /** Hears what was confirmed. */
     @FunctionalInterface
     interface Listener {
         /** The state is the newest as of some moment after the question. */
-        void confirmed(Ask ask, ControlSnapshot newest);
+        void onConfirmed(ConfirmationRequest request, ControlSnapshot newest);
     }
 
     /**
@@ -46,7 +46,8 @@
      * @param heldVersion the version of the configuration that this host holds, which the quorum
      *     need not tell again: 30 KB a question, told between zones twice a second
      */
-    Confirmations(EventLoop loop, ControlGroup group, LongSupplier heldVersion, Listener listener) {
+    RoutesConfirmationService(
+            EventLoop loop, ControlGroup group, LongSupplier heldVersion, Listener listener) {
         this.loop = loop;
         this.group = group;
         this.heldVersion = heldVersion;
@@ -54,35 +55,35 @@
     }
 
     /** Answers an entry host once the quorum has. */
-    void ask(FleetFollow follow, Replier replier) {
-        waiting.add(new Ask(follow, replier));
-        if (!asking) {
-            askQuorum();
+    void request(FleetFollow follow, Replier replier) {
+        waiting.add(new ConfirmationRequest(follow, replier));
+        if (!queryInProgress) {
+            queryQuorum();
         }
     }
 
-    private void askQuorum() {
-        List<Ask> asks = waiting;
+    private void queryQuorum() {
+        List<ConfirmationRequest> requests = waiting;
         waiting = new ArrayList<>();
-        asking = true;
-        byte[] question = ControlLog.question(heldVersion.getAsLong());
+        queryInProgress = true;
+        byte[] stateQuery = ControlStateMachine.stateQuery(heldVersion.getAsLong());
         Thread.startVirtualThread(
                 () -> {
-                    CommandOutcome outcome = group.query(question, TIMEOUT);
-                    loop.execute(() -> answered(asks, outcome));
+                    CommandOutcome outcome = group.query(stateQuery, TIMEOUT);
+                    loop.execute(() -> complete(requests, outcome));
                 });
     }
 
-    private void answered(List<Ask> asks, CommandOutcome outcome) {
-        asking = false;
+    private void complete(List<ConfirmationRequest> requests, CommandOutcome outcome) {
+        queryInProgress = false;
         if (outcome instanceof CommandOutcome.Done(byte[] state)) {
-            ControlSnapshot newest = ControlLog.decodeState(state);
-            asks.forEach(ask -> listener.confirmed(ask, newest));
+            ControlSnapshot newest = ControlStateMachine.decodeState(state);
+            requests.forEach(request -> listener.onConfirmed(request, newest));
         } else {
-            logger.info("routes.unconfirmed asked={} outcome={}", asks.size(), outcome);
+            logger.info("routes.unconfirmed asked={} outcome={}", requests.size(), outcome);
         }
         if (!waiting.isEmpty()) {
-            askQuorum();
+            queryQuorum();
         }
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/WorkRelay.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/WorkRelay.java
@@ -24,10 +24,10 @@
     private final HostId self;
     private final EntryFollowers followers;
     private final Consumer<Frame> toControlHosts;
-    private final WorkBoard works = new WorkBoard();
-    private final ReportAggregator sum = new ReportAggregator();
-    private final NothingOnce worksToTell = new NothingOnce();
-    private final NothingOnce demandsToTell = new NothingOnce();
+    private final WorkBoard board = new WorkBoard();
+    private final ReportAggregator aggregator = new ReportAggregator();
+    private final NothingOnce workReports = new NothingOnce();
+    private final NothingOnce demandReports = new NothingOnce();
 
     /**
      * Creates a relay to which nobody has reported.
@@ -41,40 +41,40 @@
     }
 
     /** Takes in how many requests an entry host, or those of another control host, have where. */
-    void worked(WorkReport report) {
+    void receiveWork(WorkReport report) {
         long now = BootClock.nanos();
         HostId host = new HostId(report.getHost());
-        works.reported(report, now);
+        board.reported(report, now);
         if (followers.isPrimaryOf(host)) {
-            sum.addWork(host, WorkCodec.decode(report), now);
-            sum.addUnreadTokens(host, WorkCodec.unread(report), now);
+            aggregator.addWork(host, WorkCodec.decode(report), now);
+            aggregator.addUnreadTokens(host, WorkCodec.unread(report), now);
         }
     }
 
     /** Takes in what an entry host is asked for. */
-    void demanded(DemandReport report) {
+    void receiveDemand(DemandReport report) {
         HostId host = new HostId(report.getHost());
         if (followers.isPrimaryOf(host)) {
-            sum.addDemand(host, WorkCodec.decode(report), BootClock.nanos());
+            aggregator.addDemand(host, WorkCodec.decode(report), BootClock.nanos());
         }
     }
 
     /** Passes the reports of the entry hosts that rely on this host on to the other ones. */
-    void passOn() {
+    void relayToControlHosts() {
         long now = BootClock.nanos();
-        sum.setHostCount(followers.count());
-        Map<UpstreamId, InstanceWork> work = sum.takeWork(now);
-        if (worksToTell.isDue(!work.isEmpty())) {
-            toControlHosts.accept(WorkCodec.encodeOwn(self, work, sum.unreadTokens(now)));
+        aggregator.setHostCount(followers.count());
+        Map<UpstreamId, InstanceWork> work = aggregator.takeWork(now);
+        if (workReports.isDue(!work.isEmpty())) {
+            toControlHosts.accept(WorkCodec.encodeOwn(self, work, aggregator.unreadTokens(now)));
         }
-        Map<String, ReportAggregator.Demand> asked = sum.takeDemand(now);
-        if (demandsToTell.isDue(!asked.isEmpty())) {
+        Map<String, ReportAggregator.Demand> asked = aggregator.takeDemand(now);
+        if (demandReports.isDue(!asked.isEmpty())) {
             toControlHosts.accept(WorkCodec.encode(self, asked));
         }
     }
 
     /** Tells each entry host the work of the others. */
-    void tellEntryHosts() {
-        followers.tellWork(works);
+    void relayToEntryHosts() {
+        followers.sendWork(board);
     }
 }
