--- a/stackhall-server/src/main/java/io/stackhall/server/control/AllowanceService.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/AllowanceService.java
@@ -13,7 +13,10 @@
 import io.stackhall.server.clock.BootClock;
 import io.stackhall.server.peer.Replier;
 
-/** Answers entry hosts that ask for their customers' allowances. Used on one event loop. */
+/**
+ * Grants customers' allowances to entry hosts while this host leads the control group. Confined to
+ * one event loop.
+ */
 final class AllowanceService {
 
     private final ControlGroup group;
@@ -24,12 +27,15 @@
         this.group = group;
     }
 
-    /** Puts the customers of the newest configuration into force. */
+    /** Applies the customers of the newest configuration. */
     void setCustomers(Customers next) {
         manager.configure(next, BootClock.nanos());
     }
 
-    /** Takes in whether this host leads the control group from now on. */
+    /**
+     * Sets whether this host leads the control group. What the predecessor granted is not known, so
+     * a new leader assumes that all allowances are used up.
+     */
     void setLeading(boolean leads) {
         leading = leads;
         if (leads) {
@@ -37,7 +43,7 @@
         }
     }
 
-    /** Decides about the claims of an entry host, or names who does. */
+    /** Decides the claims of an entry host if this host leads; otherwise only names the leader. */
     void handle(AllowanceAsk request, Replier replier) {
         AllowanceAnswer.Builder answer =
                 AllowanceAnswer.newBuilder()
--- a/stackhall-server/src/main/java/io/stackhall/server/control/ControlApi.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/ControlApi.java
@@ -33,15 +33,15 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Answers operators and upstreams on a control host. */
+/** Handles HTTP calls of operators and upstreams on a control host. */
 final class ControlApi extends SimpleChannelInboundHandler<FullHttpRequest> {
 
     private static final Logger logger = LogManager.getLogger(ControlApi.class);
 
-    /** An operator without an answer for a second tries another host; a commit takes far less. */
+    /** Operators try another host after one second without an answer; a commit takes far less. */
     private static final Duration COMMIT_TIMEOUT = Duration.ofSeconds(3);
 
-    /** A read that has not reached the leader by now is answered as uncertain. */
+    /** A read that has not reached the leader within this time is answered as uncertain. */
     private static final Duration READ_TIMEOUT = Duration.ofMillis(850);
 
     private static final byte[] ACKNOWLEDGED = "{}".getBytes(StandardCharsets.US_ASCII);
--- a/stackhall-server/src/main/java/io/stackhall/server/control/ControlDaemon.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/ControlDaemon.java
@@ -41,21 +41,24 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** A process of the control role. */
+/** A process in the control role. */
 public final class ControlDaemon implements FleetDaemon {
 
     private static final Logger logger = LogManager.getLogger(ControlDaemon.class);
 
-    /** A configuration of 10,000 routes at 300 bytes each fits several times. */
+    /** Several times the size of a configuration with 10,000 routes of 300 bytes each. */
     private static final int MAX_REQUEST_BYTES = 16 << 20;
 
     private static final long SWEEP_INTERVAL_MILLIS = 500;
     private static final long ORDER_INTERVAL_MILLIS = 50;
 
-    /** As often as entry hosts tell of their work. */
+    /** The interval at which entry hosts report their work. */
     private static final long WORK_INTERVAL_MILLIS = 150;
 
-    /** What newly waits is heard by the giver of orders, who decides every 100 ms, in time. */
+    /**
+     * Short enough for the order issuer, which decides every 100 ms, to learn in time of requests
+     * that have started to wait.
+     */
     private static final long RELAY_INTERVAL_MILLIS = 100;
 
     private final FleetSettings settings;
@@ -70,7 +73,10 @@
     private final ControlGroup group;
     private final ControlStateMachine stateMachine;
 
-    /** Of states that follow each other faster than they are passed on, the newest is enough. */
+    /**
+     * Set while an update to the newest committed state is scheduled on the event loop. States that
+     * are committed faster than they are applied are coalesced.
+     */
     private final AtomicBoolean updateScheduled = new AtomicBoolean();
 
     private final OrderIssuer orders;
@@ -84,10 +90,11 @@
     private final FleetMetrics metrics = new FleetMetrics();
 
     /**
-     * Creates a process that does not run yet.
+     * Creates a process that is not started yet.
      *
-     * @param aliveSince when the process had certainly started, on the monotonic clock in
-     *     nanoseconds; elections need not wait for leases that end before they could
+     * @param aliveSince a time at which the process had certainly started, on the monotonic clock
+     *     in nanoseconds; leases that an earlier process granted began before then, and elections
+     *     need not wait longer than these can last
      * @throws IOException if its data folder cannot be used or holds damaged state
      */
     public ControlDaemon(FleetSettings settings, FleetSettings.Control control, long aliveSince)
@@ -209,8 +216,9 @@
     }
 
     /**
-     * Tells another control host everything on each connection that has come up, whoever opened it:
-     * what was heard before this host's own connection was up, the other has not been told.
+     * Sends the full state to another control host on each new connection, whichever side opened
+     * it: the other host has not received the updates from before this host's own connection was
+     * established.
      */
     private void handleIntroduction(Introduction introduction, Replier replier) {
         hosts.introduced(introduction);
@@ -224,7 +232,10 @@
         }
     }
 
-    /** What an entry host that newly relies on this one is told before it can serve. */
+    /**
+     * Returns the frames that an entry host with this host as its new primary needs before it can
+     * serve.
+     */
     private List<Frame> initialFrames() {
         return List.of(crashes.fullNotice(), limits.fullUpdate());
     }
@@ -243,7 +254,8 @@
     }
 
     /**
-     * A host hears first which zones are evacuated and, if it holds no routes yet, whom it refuses.
+     * Sends an entry host the evacuated zones and, if it holds no routes yet, the refused requests,
+     * before the confirmed routes.
      */
     private void handleConfirmed(
             RoutesConfirmationService.ConfirmationRequest request, ControlSnapshot state) {
@@ -325,7 +337,7 @@
         }
     }
 
-    /** Hears of this replica's part in the group. */
+    /** Receives state changes and leadership changes of this host's replica. */
     private final class Listener implements GroupListener {
         @Override
         public void changed() {
--- a/stackhall-server/src/main/java/io/stackhall/server/control/ControlGroup.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/ControlGroup.java
@@ -31,13 +31,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.random.RandomGenerator;
 
-/** This host's replica of the control group, and the way to the group's leader. */
+/** This host's replica of the control group, and the client that calls the group's leader. */
 final class ControlGroup implements AutoCloseable {
 
     private static final String GROUP = "control";
     private static final long MIN_FREE_BYTES = 8 << 20;
 
-    /** Longer than a slow sync of a disk (30 times 2 ms), shorter than a caller's patience. */
+    /** Longer than a slow disk sync (30 times 2 ms), shorter than the time a caller waits. */
     private static final Duration ELECTION_TIMEOUT = Duration.ofMillis(500);
 
     private static final Duration HEARTBEAT = Duration.ofMillis(80);
@@ -90,22 +90,22 @@
         replica.start();
     }
 
-    /** Commits a command; to be called on a virtual thread. */
+    /** Commits a command. Blocks, so call it on a virtual thread. */
     CommandOutcome command(byte[] command, Duration timeout) {
         return client.command(GROUP, command, timeout);
     }
 
-    /** Reads the newest state; to be called on a virtual thread. */
+    /** Reads the newest state. Blocks, so call it on a virtual thread. */
     CommandOutcome query(Duration timeout) {
         return query(new byte[0], timeout);
     }
 
-    /** Asks the newest state a question; to be called on a virtual thread. */
+    /** Runs a query against the newest state. Blocks, so call it on a virtual thread. */
     CommandOutcome query(byte[] query, Duration timeout) {
         return client.query(GROUP, query, timeout);
     }
 
-    /** Takes a frame of the group, if it is one. */
+    /** Processes a frame that belongs to the group, and returns whether it did. */
     boolean receive(Frame frame, Replier replier) {
         switch (frame.getBodyCase()) {
             case RAFT -> replica.receive(ReplicationCodec.decode(frame.getRaft()));
@@ -118,6 +118,7 @@
         return true;
     }
 
+    /** Returns whether this replica is the leader and its lease holds now. */
     boolean leads() {
         return replica.view().role() == Role.LEADER && replica.holdsLeaseNow();
     }
@@ -126,7 +127,7 @@
         return replica.view();
     }
 
-    /** Returns the leader's host, if one is known. */
+    /** Returns the leader's host, if known. */
     Optional<HostId> leader() {
         return replica.view().leader().map(ReplicaId::host).map(HostId::new);
     }
@@ -141,7 +142,9 @@
         folder.close();
     }
 
-    /** The seeds found the group at the very first start; whoever comes later joins it. */
+    /**
+     * Returns the seeds, which form the group at the very first start; other hosts join it later.
+     */
     private Set<String> founders() {
         List<HostId> seeds = settings.seedPeers();
         if (!settings.firstStart() || !seeds.contains(settings.peerName())) {
@@ -152,7 +155,7 @@
         return names;
     }
 
-    /** Carries the group's messages. */
+    /** Sends the group's messages to other hosts. */
     private final class Wire implements GroupWire {
         @Override
         public void send(String group, Message message) {
--- a/stackhall-server/src/main/java/io/stackhall/server/control/ControlStateMachine.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/ControlStateMachine.java
@@ -19,8 +19,9 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The replicated state of the control group: the configuration of the highest version, who gave
- * orders last, and which requests are refused because they end instances.
+ * The replicated state of the control group: the configuration of the highest version, the host
+ * that last took over as order issuer, the evacuated zones, and the requests that are refused
+ * because they crash instances (sentences).
  */
 final class ControlStateMachine implements GroupState {
 
@@ -28,7 +29,7 @@
 
     private volatile ControlSnapshot state = initial();
 
-    /** Returns the state as applied on this host, which may lag behind the leader's. */
+    /** Returns the state applied on this host, which may lag behind the leader's. */
     ControlSnapshot state() {
         return state;
     }
@@ -46,7 +47,7 @@
         return new byte[0];
     }
 
-    /** Answers with the whole state, without the configuration where the asker holds that one. */
+    /** Returns the state, without the configuration's body if the caller holds that version. */
     @Override
     public byte[] query(byte[] query) {
         ControlSnapshot now = state;
@@ -54,7 +55,9 @@
         return held ? now.toBuilder().clearBody().build().toByteArray() : now.toByteArray();
     }
 
-    /** Returns the question for the state by whoever holds a configuration already. */
+    /**
+     * Returns a query for the state from a host that already holds a version of the configuration.
+     */
     static byte[] stateQuery(long heldVersion) {
         return ControlSnapshot.newBuilder().setVersion(heldVersion).build().toByteArray();
     }
@@ -98,7 +101,7 @@
         return command(Sentence.newBuilder().addAllAdded(added).addAllLifted(lifted));
     }
 
-    /** Returns the command by which an operator has a request served again. */
+    /** Returns the command by which an operator lifts the refusal of a request. */
     static byte[] liftCommand(ByteString request, String operator) {
         return command(Sentence.newBuilder().addLifted(request).setOperator(operator));
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/CrashTracker.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/CrashTracker.java
@@ -26,9 +26,9 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Gathers on a control host which requests end instances, passes on what is new, and has the
- * control group agree on those that are refused, so that a restart of all hosts does not forget
- * them. Used on one event loop.
+ * Collects on a control host which requests crash instances and forwards new records to other
+ * hosts. The refused requests (sentences) are committed by the control group, so that they survive
+ * a restart of all hosts. Confined to one event loop.
  */
 final class CrashTracker {
 
@@ -36,7 +36,7 @@
 
     private static final Duration COMMIT_TIMEOUT = Duration.ofSeconds(3);
 
-    /** Each costs sixteen bytes in the control group's state and in what a new follower is told. */
+    /** Each takes 16 bytes in the control group's state and in the notice to a new follower. */
     private static final int MAX_SENTENCED = 1000;
 
     private final EventLoop loop;
@@ -46,23 +46,23 @@
     private List<ByteString> sentenced = List.of();
     private boolean committing;
 
-    /** The requests that are refused. */
+    /** The refused requests, as listed for an operator. */
     record Refusals(List<Refusal> refused) {}
 
     /**
-     * One request that is refused.
+     * A refused request.
      *
-     * @param digest names it, as in the logs
-     * @param instances the incarnations that ended under it, as far as this host remembers
-     * @param secondsLeft how much longer it is refused
+     * @param digest identifies the request, as in the logs
+     * @param instances the incarnations that it crashed, as far as this host remembers
+     * @param secondsLeft how many more seconds it is refused
      */
     record Refusal(String digest, List<String> instances, long secondsLeft) {}
 
     /**
-     * Creates a keeper that knows of nothing.
+     * Creates an empty tracker.
      *
-     * @param broadcast sends a frame to the other control hosts, and to the entry hosts that rely
-     *     on this one
+     * @param broadcast sends a frame to the other control hosts, and to the entry hosts whose
+     *     primary is this host
      */
     CrashTracker(EventLoop loop, Consumer<Frame> broadcast, ControlGroup group) {
         this.loop = loop;
@@ -70,7 +70,7 @@
         this.group = group;
     }
 
-    /** Takes in what an entry host or another control host tells, and passes on what is new. */
+    /** Records a notice from an entry host or another control host, and forwards new records. */
     void receive(CrashNotice notice) {
         long now = BootClock.nanos();
         CrashNotice.Builder unseen = CrashCodec.notice();
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Takes over what the group has agreed on, and tells of it. */
+    /** Applies the sentences that the group has committed, and notifies other hosts of them. */
     void applyCommitted(ControlSnapshot state) {
         if (state.getSentencedList().equals(sentenced)) {
             return;
@@ -109,8 +109,8 @@
     }
 
     /**
-     * Returns what the group has agreed on, for an entry host that is about to be told its first
-     * routes: without it, a host sent a request that is refused 2 ms before it heard so.
+     * Returns the committed sentences, for an entry host that is about to receive its first routes.
+     * Without them, a host sent a refused request 2 ms before it learned of the refusal.
      */
     static Frame sentencesFrame(ControlSnapshot state) {
         return sentencesFrame(state, List.of());
@@ -125,7 +125,7 @@
                                         .addAllLifted(lifted)));
     }
 
-    /** Returns all that is known, for a host that may know nothing. */
+    /** Returns all known crashes and sentences, for a host that may have received none yet. */
     Frame fullNotice() {
         return CrashCodec.frame(
                 CrashCodec.notice()
@@ -133,12 +133,12 @@
                         .setSentenced(Sentence.newBuilder().addAllAdded(sentenced)));
     }
 
-    /** Forgets what no longer counts. */
+    /** Removes expired records. */
     void sweep() {
         ledger.sweep(BootClock.nanos());
     }
 
-    /** Has the group agree on what this host holds against requests; for the leader alone. */
+    /** Proposes the requests that this host condemns to the group. Called on the leader only. */
     void proposeSentences() {
         List<ByteString> condemned =
                 CrashCodec.encode(ledger.condemned(BootClock.nanos())).stream()
@@ -159,7 +159,7 @@
                 });
     }
 
-    /** Returns the requests that are refused now, as JSON that names each with its evidence. */
+    /** Returns the requests that are refused now, each with its evidence, as JSON. */
     byte[] refusedRequestsJson() {
         long now = BootClock.nanos();
         List<Refusal> all = new ArrayList<>();
@@ -177,11 +177,11 @@
     }
 
     /**
-     * Has a request served again on all hosts: what was held against it counts no more, and the
-     * group agrees to refuse it no longer. Ends that come later are held against it anew.
+     * Lifts the refusal of a request on all hosts: discards the evidence against it, and has the
+     * group commit that it is served again. Later crashes count against it anew.
      *
-     * @param operator who asks for it, for the log
-     * @param onOutcome told whether the group has agreed, on another thread
+     * @param operator the operator who requested it, for the log
+     * @param onOutcome called with the outcome of the commit, on another thread
      */
     void lift(RequestDigest request, String operator, Consumer<CommandOutcome> onOutcome) {
         logger.info("sentence.lift digest={} operator={}", request, operator);
--- a/stackhall-server/src/main/java/io/stackhall/server/control/EngineClient.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/EngineClient.java
@@ -31,12 +31,12 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Calls engines, with a bound on the time of each call, and only while that is allowed. */
+/** Calls engines, with a timeout for each call, and only while sending is allowed. */
 final class EngineClient {
 
     private static final Logger logger = LogManager.getLogger(EngineClient.class);
 
-    /** Engines answer orders within some milliseconds. */
+    /** Far more than the few milliseconds within which engines answer orders. */
     private static final long TIMEOUT_MILLIS = 900;
 
     private final EventLoop loop;
@@ -45,31 +45,31 @@
     private final EngineListener engineListener;
     private final Set<Call> inFlight = new HashSet<>();
 
-    /** Hears the answer to one call. */
+    /** Receives the result of one call. */
     interface AnswerListener {
-        /** Takes the status, if an answer came in time, and the answer's body. */
+        /** Called with the status, if an answer came in time, and the answer's body. */
         void onAnswer(Optional<Integer> status, byte[] body);
     }
 
-    /** Hears what becomes of all calls. */
+    /** Receives what all calls reveal about engines. */
     interface EngineListener {
-        /** An engine names how many requests a second it takes. */
+        /** An engine announces its limit in requests per second. */
         void onLimit(UpstreamId id, double perSecond);
 
-        /** An engine wants nothing from this host for some time. */
+        /** An engine requests that this host send nothing for some time. */
         void onRest(UpstreamId id, Duration time);
 
-        /** An engine says that it leaves. */
+        /** An engine announces that it is leaving. */
         void onLeaving(UpstreamId id);
 
-        /** An engine cannot be connected to; takes whether the connection was refused. */
+        /** No connection to an engine could be established; says whether it was refused. */
         void onUnreachable(UpstreamId id, boolean refused);
     }
 
     /**
      * Creates a client.
      *
-     * @param sendAllowed asked right before a call is written
+     * @param sendAllowed checked immediately before a call is written
      */
     EngineClient(
             EventLoop loop,
@@ -90,7 +90,7 @@
         new Call(id, address, listener).start(request(HttpMethod.GET, path, new byte[0], id));
     }
 
-    /** Breaks off all calls that are under way, as if no answer had come in time. */
+    /** Cancels all calls in flight, as if they had timed out. */
     void cancelAll() {
         List.copyOf(inFlight).forEach(Call::timeOut);
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/EntryFollowers.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/EntryFollowers.java
@@ -21,17 +21,21 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** The entry hosts that follow this control host, and what they are told. Used on one loop. */
+/**
+ * The entry hosts that follow this control host, and the updates sent to them. Confined to one
+ * event loop.
+ */
 final class EntryFollowers {
 
     private static final Logger logger = LogManager.getLogger(EntryFollowers.class);
 
-    /** An entry host asks again every second. */
+    /** Entry hosts repeat their follow request every second. */
     private static final long EXPIRY_NANOS = TimeUnit.SECONDS.toNanos(4);
 
     /**
-     * What an instance holds changes with orders, of which entry hosts are told apart from this; a
-     * heartbeat that shows the same comes up to 1.2 s later.
+     * How long changes that are not urgent are batched. What an instance holds changes with orders,
+     * of which entry hosts are notified separately; the heartbeat that shows the same change comes
+     * up to 1.2 s later.
      */
     private static final long BATCH_MILLIS = 150;
 
@@ -43,7 +47,7 @@
     private long workSentAt = BootClock.nanos();
     private int reportedCount;
 
-    /** An entry host that is told of changes. */
+    /** An entry host that receives updates. */
     private static final class Follower {
         private final long connection;
         private Replier replier;
@@ -62,10 +66,10 @@
     }
 
     /**
-     * Notes that an entry host has asked.
+     * Records a follow request of an entry host.
      *
-     * @return whether it has newly taken this host as its primary, so that it is to be told
-     *     everything
+     * @return whether the entry host has newly chosen this host as its primary and needs the full
+     *     state
      */
     boolean recordFollow(FleetFollow follow, Replier replier) {
         Follower known = followers.get(follow.getHost());
@@ -85,7 +89,7 @@
         return newlyPrimary;
     }
 
-    /** Returns whether an entry host has this one as its primary. */
+    /** Returns whether this host is the primary of an entry host. */
     boolean isPrimaryOf(HostId host) {
         Follower follower = followers.get(host.value());
         return follower != null && follower.primary;
@@ -95,12 +99,12 @@
         return followers.size();
     }
 
-    /** Sends a frame to each. */
+    /** Sends a frame to all followers. */
     void send(Frame frame) {
         followers.values().forEach(follower -> follower.replier.send(frame));
     }
 
-    /** Sends a frame to each that has this host as its primary. */
+    /** Sends a frame to the followers whose primary is this host. */
     void sendToPrimaries(Frame frame) {
         for (Follower follower : followers.values()) {
             if (follower.primary) {
@@ -109,7 +113,7 @@
         }
     }
 
-    /** Sends a frame to each that has another host as its primary. */
+    /** Sends a frame to the followers whose primary is another host. */
     void sendToOthers(Frame frame) {
         for (Follower follower : followers.values()) {
             if (!follower.primary) {
@@ -118,7 +122,10 @@
         }
     }
 
-    /** Tells each at once of instances that come, go, drain or serve a further model. */
+    /**
+     * Notifies all followers at once of instances that join, leave, drain or serve an additional
+     * model.
+     */
     void sendNow(Collection<Instance> instances) {
         if (instances.isEmpty()) {
             return;
@@ -128,8 +135,8 @@
     }
 
     /**
-     * Tells those that have this host as their primary what else has changed of instances, together
-     * with what changes within 150 ms.
+     * Notifies the followers whose primary is this host of other changes to instances, batched with
+     * those of the next 150 ms.
      */
     void sendBatched(Collection<Instance> instances) {
         instances.forEach(instance -> pendingUpdates.put(instance.id(), instance));
@@ -150,8 +157,8 @@
     }
 
     /**
-     * Tells each that has this host as its primary the work of the others, less often the more of
-     * them there are.
+     * Sends each follower whose primary is this host the work of the other hosts; the more such
+     * followers there are, the longer the interval.
      */
     void sendWork(WorkBoard board) {
         long now = BootClock.nanos();
@@ -165,7 +172,7 @@
         followers.forEach((host, follower) -> sendWork(board, new HostId(host), follower, now));
     }
 
-    /** What nobody works on is told once. */
+    /** A report without work is sent only once in a row. */
     private void sendWork(WorkBoard board, HostId host, Follower follower, long now) {
         if (!follower.primary) {
             return;
@@ -176,7 +183,7 @@
         }
     }
 
-    /** Forgets those that have stopped asking, and tells the others how many are left. */
+    /** Removes followers that have stopped following, and notifies the rest of their new count. */
     void sweep() {
         long now = BootClock.nanos();
         followers.values().removeIf(follower -> now - follower.followedAt > EXPIRY_NANOS);
--- a/stackhall-server/src/main/java/io/stackhall/server/control/EvacuationService.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/EvacuationService.java
@@ -13,8 +13,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Has the control group agree on which zones are evacuated, so that this outlives a change of
- * leader and a restart of all hosts, and tells entry hosts. Used on one event loop.
+ * Has the control group commit which zones are evacuated, so that evacuations survive a change of
+ * leader and a restart of all hosts, and notifies entry hosts. Confined to one event loop.
  */
 final class EvacuationService {
 
@@ -28,10 +28,10 @@
     private EvacuatedZones zones = EvacuatedZones.none();
 
     /**
-     * Creates a desk that knows of no evacuation.
+     * Creates a service without evacuated zones.
      *
-     * @param toEntryHosts sends a frame to the entry hosts that rely on this one
-     * @param onChange told of each newer state
+     * @param toEntryHosts sends a frame to the entry hosts whose primary is this host
+     * @param onChange called with each newer state
      */
     EvacuationService(
             ControlGroup group, Consumer<Frame> toEntryHosts, Consumer<EvacuatedZones> onChange) {
@@ -41,9 +41,10 @@
     }
 
     /**
-     * Orders that a zone is emptied, or used again. Repeated orders change nothing.
+     * Orders the start or the end of a zone's evacuation. Repeated orders change nothing.
      *
-     * @param onOutcome told whether the group keeps it, on another thread
+     * @param ends whether the zone is used again
+     * @param onOutcome called with the outcome of the commit, on another thread
      */
     void order(ZoneId zone, boolean ends, Consumer<CommandOutcome> onOutcome) {
         byte[] command = ControlStateMachine.evacuationCommand(zone, ends);
@@ -56,7 +57,7 @@
                 });
     }
 
-    /** Takes over what the group has agreed on. */
+    /** Applies the state that the group has committed, if it is newer. */
     void applyCommitted(EvacuatedZones next) {
         if (next.revision() > zones.revision()) {
             zones = next;
@@ -66,14 +67,15 @@
     }
 
     /**
-     * Tells an entry host what a quorum knows, before it can serve by the routes confirmed with it.
+     * Applies a state that a quorum has confirmed, and sends it to an entry host before the host
+     * can serve by the routes confirmed with it.
      */
     void applyConfirmed(EvacuatedZones newest, FleetFollow follow, Replier replier) {
         applyCommitted(newest);
         handleFollow(follow, replier);
     }
 
-    /** Answers an entry host that knows an older state. */
+    /** Sends the evacuated zones to an entry host that holds an older state. */
     void handleFollow(FleetFollow follow, Replier replier) {
         if (follow.getEvacuations() < zones.revision()) {
             replier.send(EvacuationCodec.frame(zones));
--- a/stackhall-server/src/main/java/io/stackhall/server/control/FleetRegistry.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/FleetRegistry.java
@@ -38,17 +38,18 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Keeps the list of upstreams on a control host, passes what it hears on to the other control
- * hosts, and pushes every change to the entry hosts that follow it. Used on one event loop.
+ * The registry of upstreams on a control host. Forwards what it receives to the other control
+ * hosts, and pushes every change, as well as new routes, to the entry hosts that follow this host.
+ * Confined to one event loop.
  */
 final class FleetRegistry {
 
     private static final Logger logger = LogManager.getLogger(FleetRegistry.class);
 
-    /** Heartbeats may come some seconds late; requests to a dead upstream fail before this. */
+    /** Heartbeats may be some seconds late; requests to a dead upstream fail earlier than this. */
     private static final int SILENT_HEARTBEATS = 5;
 
-    /** Another writer may send many records a second. */
+    /** Limits the log rate, since a foreign program may send many invalid records a second. */
     private static final long REFUSAL_LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     private final EventLoop loop;
@@ -73,8 +74,8 @@
     }
 
     /**
-     * Takes in what an upstream says of itself, and passes it on. One of a service that the
-     * configuration does not name is left aside until it does.
+     * Merges an upstream's announcement of itself, and forwards it. Announcements of a service that
+     * is not in the configuration are refused until it is.
      */
     void receive(Instance instance) {
         if (isServed(instance)) {
@@ -84,7 +85,10 @@
         }
     }
 
-    /** What is known already is merged on: it may say that it drains while its service goes. */
+    /**
+     * A known upstream is accepted still, since it may announce that it is draining while its
+     * service is removed from the configuration.
+     */
     private boolean isServed(Instance instance) {
         return services.isEmpty()
                 || services.contains(instance.service())
@@ -93,7 +97,7 @@
                         .isPresent();
     }
 
-    /** Notes a record that describes no upstream; some other program may have written it. */
+    /** Counts a record that describes no valid upstream; another program may have written it. */
     void recordRefusal(Finding finding) {
         refusedRecords++;
         long now = BootClock.nanos();
@@ -103,19 +107,21 @@
         }
     }
 
-    /** Returns how many records were refused. */
+    /** Returns the number of refused records. */
     long refusedRecords() {
         return refusedRecords;
     }
 
-    /** Takes in that an upstream ends. */
+    /** Removes an upstream that has deregistered. */
     void remove(UpstreamId id) {
         List<Instance> changed = table.remove(id);
         logger.info("upstream.left id={} known={}", id, !changed.isEmpty());
         publish(changed);
     }
 
-    /** Takes in that an upstream has said that it leaves, in an answer to some host. */
+    /**
+     * Marks an upstream as draining after it has announced to a host, in an answer, that it leaves.
+     */
     void drain(UpstreamId id, HostId host) {
         List<Instance> changed = table.drain(id);
         if (!changed.isEmpty()) {
@@ -124,7 +130,7 @@
         }
     }
 
-    /** Takes in what another control host has merged. */
+    /** Merges the instances that another control host has received. */
     void receive(InstancesUpdate update) {
         List<Instance> instances = new ArrayList<>();
         for (InstanceRecord item : update.getInstancesList()) {
@@ -133,7 +139,7 @@
         merge(instances, false);
     }
 
-    /** Marks the upstreams that have said nothing for too long; for the leader alone. */
+    /** Marks upstreams that have been silent for too long. Called on the leader only. */
     void expire() {
         List<Instance> changed = table.expire(BootClock.nanos());
         publish(changed);
@@ -144,15 +150,16 @@
         publishToEntryHosts(changed, List.of());
     }
 
-    /** Starts counting silence anew, for a host that may itself have been out of touch. */
+    /** Restarts the timers of silent upstreams, since this host may have been cut off itself. */
     void restartSilenceTimers() {
         table.restartSilenceTimers(BootClock.nanos());
     }
 
     /**
-     * Answers an entry host that follows, and remembers it.
+     * Records a follow request of an entry host, and sends it the updates that it lacks.
      *
-     * @param initialFrames what a host is told that newly relies on this one, before it can serve
+     * @param initialFrames the frames that a host with this host as its new primary needs before it
+     *     can serve
      */
     void handleFollow(FleetFollow follow, Replier replier, Supplier<List<Frame>> initialFrames) {
         if (followers.recordFollow(follow, replier)) {
@@ -165,15 +172,16 @@
     }
 
     /**
-     * Only its primary tells an entry host the full configuration, the others its version: told by
-     * each of six control hosts, one of 30 KB took 16 MB on its way to 89 entry hosts (reckoned).
+     * Only the primary sends an entry host the full configuration; other control hosts send its
+     * version. Sent by each of six control hosts, a configuration of 30 KB would take 16 MB to
+     * reach 89 entry hosts (calculated).
      */
     private Frame routesFor(FleetFollow follow) {
         boolean full = follow.getPrimary() || follow.getWantsRoutes();
         return frame(full ? fullRoutes() : routesVersion());
     }
 
-    /** Tells an entry host the routes as a quorum has just confirmed them. */
+    /** Sends an entry host the routes that a quorum has just confirmed. */
     void sendConfirmation(RoutesConfirmationService.ConfirmationRequest request) {
         FleetFollow follow = request.follow();
         boolean outdated = follow.getRoutesVersion() < routes.getVersion();
@@ -183,9 +191,9 @@
     }
 
     /**
-     * Takes over a committed configuration, and pushes it.
+     * Applies a committed configuration, and pushes it to entry hosts, if it is newer.
      *
-     * @return whether it is a newer one
+     * @return whether it was newer
      */
     boolean applyRoutes(ControlSnapshot next) {
         if (next.getVersion() <= routes.getVersion()) {
@@ -204,28 +212,30 @@
         return true;
     }
 
-    /** Tells every entry host what an instance holds now, or is about to hold no more. */
+    /** Notifies all entry hosts of what an instance now holds, or is about to unload. */
     void publishResidency(ResidencyChange change) {
         broadcast(Frame.newBuilder().setResidency(change).build());
     }
 
-    /** Passes on what the giver of orders has said to the entry hosts that rely on this host. */
+    /** Sends a frame to the entry hosts whose primary is this host. */
     void sendToEntryHosts(Frame frame) {
         followers.sendToPrimaries(frame);
     }
 
-    /** Sends a frame to the other control hosts and to the entry hosts that rely on this one. */
+    /**
+     * Sends a frame to the other control hosts and to the entry hosts whose primary is this host.
+     */
     void broadcast(Frame frame) {
         sendToControlHosts(frame);
         sendToEntryHosts(frame);
     }
 
-    /** Returns whether another control host is in reach. */
+    /** Returns whether another control host is connected. */
     boolean isReachable(HostId host) {
         return transport.connected(host);
     }
 
-    /** Tells the entry hosts that rely on this host that it knows of no leader. */
+    /** Notifies the entry hosts whose primary is this host that it knows of no leader. */
     void notifyOutOfTouch() {
         followers.sendToPrimaries(
                 Frame.newBuilder()
@@ -233,12 +243,12 @@
                         .build());
     }
 
-    /** Forgets entry hosts that have stopped asking. */
+    /** Removes entry hosts that have stopped following. */
     void sweep() {
         followers.sweep();
     }
 
-    /** Tells another control host everything. */
+    /** Sends all instances to another control host. */
     void sendAll(Replier replier) {
         replier.send(fullUpdate());
     }
@@ -251,7 +261,7 @@
         return routes;
     }
 
-    /** Returns the newest configuration that could be read. */
+    /** Returns the newest configuration that could be decoded. */
     Optional<RouteTable> routeTable() {
         return routeTable;
     }
@@ -277,7 +287,7 @@
                     case URGENT -> urgent.add(after);
                     case BATCHED -> batched.add(after);
                     case NONE -> {
-                        // Only its sequence has risen.
+                        // Only the sequence number has changed.
                     }
                 }
             }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/LimitService.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/LimitService.java
@@ -28,14 +28,14 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Keeps the limits that upstreams name on a control host, and grants permits while it leads. Used
- * on one event loop.
+ * Tracks on a control host the rate limits that upstreams announce, and grants permits to send to
+ * them while this host leads the control group. Confined to one event loop.
  */
 final class LimitService {
 
     private static final Logger logger = LogManager.getLogger(LimitService.class);
 
-    /** A request that waits for a permit of an upstream is sent this much later at most. */
+    /** The longest additional delay of a request that waits for a permit of an upstream. */
     private static final long GRANT_INTERVAL_MILLIS = 20;
 
     private final ControlGroup group;
@@ -46,7 +46,7 @@
     private boolean leading;
     private boolean grantScheduled;
 
-    /** A limit in force, as an operator is told. */
+    /** A limit in force, as listed for an operator. */
     private record Listed(String upstream, double perSecond, boolean ending) {
         static Listed of(LimitUpdate update) {
             return new Listed(
@@ -56,7 +56,7 @@
         }
     }
 
-    /** All limits in force, and the upstreams that leave. */
+    /** All limits in force, and the upstreams that are draining. */
     private record Listing(List<Listed> limits, List<String> leaving) {}
 
     LimitService(ControlGroup group, FleetRegistry fleet, HostId self) {
@@ -65,7 +65,7 @@
         this.self = self;
     }
 
-    /** Takes in whether this host leads the control group from now on. */
+    /** Sets whether this host leads the control group. */
     void setLeading(boolean leads) {
         leading = leads;
         permitRepliers.clear();
@@ -79,12 +79,12 @@
         return leading && group.leads();
     }
 
-    /** Takes in that an entry host has reported. */
+    /** Records that an entry host has reported to this control host. */
     void handleFollow(HostId host) {
         manager.hostReported(host, BootClock.nanos());
     }
 
-    /** Takes in what whoever leads says, and passes on what is newer. */
+    /** Applies updates from the leader, and forwards newer ones to entry hosts. */
     void receive(LimitWords updates) {
         List<LimitUpdate> newer =
                 LimitCodec.words(updates).stream().filter(manager::receive).toList();
@@ -94,7 +94,9 @@
         }
     }
 
-    /** Takes in what an upstream has told an entry host. */
+    /**
+     * Processes what an entry host has observed in an answer of an upstream, if this host leads.
+     */
     void handleObservation(LimitHeard message) {
         if (leads()) {
             publish(
@@ -104,8 +106,8 @@
     }
 
     /**
-     * Takes in what an upstream has told this host itself. Answers to a control host's calls need
-     * not name a limit for it to be in force.
+     * Processes a limit that an upstream has announced to this host itself. A limit stays in force
+     * even if answers to a control host's calls do not name it.
      */
     void observeLocally(UpstreamId upstream, double perSecond) {
         if (leads()) {
@@ -118,7 +120,7 @@
         }
     }
 
-    /** Takes in what an entry host would send. */
+    /** Processes the permit request of an entry host, if this host leads. */
     void handlePermitRequest(PermitAsk message, Replier replier) {
         if (!leads()) {
             return;
@@ -133,7 +135,7 @@
         scheduleGrant();
     }
 
-    /** Looks again and again while there are limits; without any, no timer wakes this host. */
+    /** Repeats grants while there are limits; without any, no timer wakes this host. */
     private void scheduleGrant() {
         if (!grantScheduled && leads() && !manager.table().inForce().isEmpty()) {
             grantScheduled = true;
@@ -152,7 +154,7 @@
         }
     }
 
-    /** Grants what there is room for, and lets limits that have ended go. */
+    /** Grants the permits that are available, and drops limits that have ended. */
     private void grant() {
         if (leads()) {
             LimitManager.Decisions decisions = manager.advance(BootClock.nanos());
@@ -161,7 +163,7 @@
         }
     }
 
-    /** Forgets the limits of upstreams that are gone. */
+    /** Removes the limits of upstreams that are gone. */
     void sweep() {
         if (!manager.table().all().isEmpty()) {
             manager.retain(
@@ -169,7 +171,7 @@
         }
     }
 
-    /** Returns all that is known, for a host that may know nothing. */
+    /** Returns all known limits, for a host that may have received none yet. */
     Frame fullUpdate() {
         return LimitCodec.words(manager.table().all());
     }
@@ -181,7 +183,9 @@
                 .collect(Collectors.toSet());
     }
 
-    /** Returns the limits in force, and which upstreams leave, as JSON for an operator. */
+    /**
+     * Returns the limits in force, and the upstreams that are draining, as JSON for an operator.
+     */
     byte[] limitsJson() {
         List<Listed> all = manager.table().inForce().stream().map(Listed::of).toList();
         List<String> leaving =
--- a/stackhall-server/src/main/java/io/stackhall/server/control/OperatorApi.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/OperatorApi.java
@@ -5,7 +5,7 @@
 import io.stackhall.server.fleet.AnswerServer;
 import java.util.function.Consumer;
 
-/** An operator's calls about what this system has found out by itself. */
+/** Handles the calls of operators under {@link OperatorPaths}. */
 final class OperatorApi {
 
     private final EventLoop loop;
@@ -18,7 +18,7 @@
         this.limits = limits;
     }
 
-    /** Returns whether a path is one of these calls. */
+    /** Returns whether this API handles a path. */
     static boolean handles(String path) {
         return path.equals(OperatorPaths.UPSTREAM_LIMITS) || RefusedRequestsApi.handles(path);
     }
@@ -26,8 +26,8 @@
     /**
      * Answers a call.
      *
-     * @param body of a POST, who asks
-     * @param answer told the outcome, on any thread
+     * @param body for a POST, the name of the operator
+     * @param answer called with the answer, on any thread
      */
     void handle(HttpMethod method, String path, byte[] body, Consumer<AnswerServer.Answer> answer) {
         if (path.equals(OperatorPaths.UPSTREAM_LIMITS)) {
--- a/stackhall-server/src/main/java/io/stackhall/server/control/OperatorPaths.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/OperatorPaths.java
@@ -1,17 +1,20 @@
 package io.stackhall.server.control;
 
-/** Where a control host answers an operator about what this system has found out by itself. */
+/**
+ * HTTP paths on a control host under which operators inspect and correct what the system has
+ * detected itself.
+ */
 public final class OperatorPaths {
 
-    /** Lists the requests that are refused because instances end under them. */
+    /** Lists the requests that are refused because they crash instances. */
     public static final String REFUSED_REQUESTS = "/-/refused-requests";
 
-    /** Lists the limits that upstreams name, and the upstreams that leave. */
+    /** Lists the rate limits that upstreams announce, and the upstreams that are draining. */
     public static final String UPSTREAM_LIMITS = "/-/upstream-limits";
 
     private OperatorPaths() {}
 
-    /** Returns where one of the refused requests is served again. */
+    /** Returns the path that lifts the refusal of one request. */
     public static String refusedRequest(String digest) {
         return REFUSED_REQUESTS + "/" + digest;
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/OrderIssuer.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/OrderIssuer.java
@@ -41,21 +41,21 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Gives orders to engines while this host leads the control group, and no longer.
+ * Issues orders to engines, only while this host leads the control group.
  *
- * <p>It begins only after its taking over is committed and the pause after a predecessor is over;
- * each order is written only while the leader's lease holds at that very moment.
+ * <p>It starts only after its take-over has been committed and the pause after a predecessor has
+ * passed. Each order is written only if the leader's lease holds at that moment.
  */
 final class OrderIssuer {
 
     private static final Logger logger = LogManager.getLogger(OrderIssuer.class);
 
-    /** An adapter arrives some 6 to 20 ms after its order is taken, later while many come. */
+    /** An adapter arrives about 6 to 20 ms after its order is accepted, later if many load. */
     private static final long ADAPTER_ARRIVAL_MILLIS = 40;
 
     private static final Duration TAKE_OVER_TIMEOUT = Duration.ofSeconds(2);
 
-    /** Orders of the predecessor may be on their way a little longer than its lease. */
+    /** Orders of the predecessor may be in transit a little longer than its lease. */
     private static final Duration PAUSE_MARGIN = Duration.ofMillis(300);
 
     private final FleetSettings settings;
@@ -97,8 +97,9 @@
     }
 
     /**
-     * This host has begun or ceased to lead. Orders of an earlier leadership that a cut holds up
-     * must not come to an engine behind those of the next.
+     * Starts or stops issuing orders as this host gains or loses leadership. Cancels all calls in
+     * flight, since orders of an earlier leadership that a network partition has delayed must not
+     * reach an engine after those of the next.
      */
     void setLeading(boolean leads, ControlSnapshot previous) {
         engines.cancelAll();
@@ -110,12 +111,12 @@
         }
     }
 
-    /** Takes over in which zones engines serve nobody. */
+    /** Sets the evacuated zones, in which engines serve no requests. */
     void setEvacuatedZones(EvacuatedZones zones) {
         manager.setEvacuatedZones(zones);
     }
 
-    /** Does what is due. */
+    /** Carries out the steps that are due. */
     void tick() {
         if (!isActive()) {
             return;
@@ -127,7 +128,7 @@
         execute(manager.step(now));
     }
 
-    /** Takes in an entry host's counts. */
+    /** Records an entry host's counts of arrived and waiting requests. */
     void recordDemand(DemandReport report) {
         Map<ModelId, Integer> arrivals = new HashMap<>();
         Map<ModelId, Integer> waiting = new HashMap<>();
@@ -145,12 +146,12 @@
         manager.recordDemand(new HostId(report.getHost()), arrivals, waiting, now);
     }
 
-    /** Takes in what an entry host says of its work at instances. */
+    /** Records the work at instances that an entry host has reported. */
     void recordWork(Map<UpstreamId, InstanceWork> work) {
         manager.recordWork(work, BootClock.nanos());
     }
 
-    /** Takes in that an entry host cannot connect to an instance. */
+    /** Records that an entry host cannot connect to an instance. */
     void recordUnreachable(InstanceUnreachable report) {
         logger.info(
                 "upstream.unreachable id={} by={} refused={}",
@@ -163,7 +164,7 @@
                 report.getRefused());
     }
 
-    /** Hears what becomes of calls to engines. */
+    /** Receives what calls reveal about engines. */
     private final class EngineEvents implements EngineClient.EngineListener {
         @Override
         public void onLimit(UpstreamId id, double perSecond) {
@@ -187,7 +188,7 @@
         }
     }
 
-    /** Takes in that requests wait for an adapter. */
+    /** Requests an adapter that requests are waiting for. */
     void requestAdapter(AdapterWanted message) {
         if (isActive()) {
             manager.requestAdapter(
--- a/stackhall-server/src/main/java/io/stackhall/server/control/RefusedRequestsApi.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/RefusedRequestsApi.java
@@ -11,8 +11,8 @@
 import java.util.function.Consumer;
 
 /**
- * An operator's calls about requests that are refused because instances end under them: GET lists
- * them, and a POST to one of them has it served again.
+ * Handles the calls of operators about requests that are refused because they crash instances: GET
+ * lists them, and a POST to one of them lifts its refusal.
  */
 final class RefusedRequestsApi {
 
@@ -28,7 +28,7 @@
         this.crashes = crashes;
     }
 
-    /** Returns whether a path is one of these calls. */
+    /** Returns whether this API handles a path. */
     static boolean handles(String path) {
         return path.equals(ALL) || path.startsWith(ONE);
     }
@@ -36,8 +36,8 @@
     /**
      * Answers a call.
      *
-     * @param body of a POST, who asks
-     * @param answer told the outcome, on any thread
+     * @param body for a POST, the name of the operator
+     * @param answer called with the answer, on any thread
      */
     void handle(HttpMethod method, String path, byte[] body, Consumer<AnswerServer.Answer> answer) {
         if (path.equals(ALL)) {
--- a/stackhall-server/src/main/java/io/stackhall/server/control/RoutesConfirmationService.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/RoutesConfirmationService.java
@@ -13,9 +13,9 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Has the quorum confirm for entry hosts which configuration is the newest. What is asked while one
- * question is under way waits for the next, so that the quorum answers few questions however many
- * hosts ask. Used on one event loop.
+ * Confirms the newest configuration to entry hosts by querying a quorum. Requests that arrive while
+ * a query is in flight share the next one, so that the number of queries does not grow with the
+ * number of hosts. Confined to one event loop.
  */
 final class RoutesConfirmationService {
 
@@ -30,21 +30,22 @@
     private List<ConfirmationRequest> waiting = new ArrayList<>();
     private boolean queryInProgress;
 
-    /** An entry host that requests, and the way back to it. */
+    /** An entry host's request, and the channel for the reply. */
     record ConfirmationRequest(FleetFollow follow, Replier replier) {}
 
-    /** Hears what was confirmed. */
+    /** Receives confirmed states. */
     @FunctionalInterface
     interface Listener {
-        /** The state is the newest as of some moment after the question. */
+        /** Called with a state that was the newest at some time after the request. */
         void onConfirmed(ConfirmationRequest request, ControlSnapshot newest);
     }
 
     /**
-     * Creates one that nobody has asked.
+     * Creates a service without pending requests.
      *
-     * @param heldVersion the version of the configuration that this host holds, which the quorum
-     *     need not tell again: 30 KB a question, told between zones twice a second
+     * @param heldVersion the version of the configuration that this host holds; the quorum omits
+     *     the body of that version, since 30 KB per query would be sent between zones twice a
+     *     second
      */
     RoutesConfirmationService(
             EventLoop loop, ControlGroup group, LongSupplier heldVersion, Listener listener) {
@@ -54,7 +55,7 @@
         this.listener = listener;
     }
 
-    /** Answers an entry host once the quorum has. */
+    /** Confirms the newest configuration to an entry host once the quorum has answered. */
     void request(FleetFollow follow, Replier replier) {
         waiting.add(new ConfirmationRequest(follow, replier));
         if (!queryInProgress) {
--- a/stackhall-server/src/main/java/io/stackhall/server/control/WorkRelay.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/WorkRelay.java
@@ -15,9 +15,9 @@
 import java.util.function.Consumer;
 
 /**
- * Passes on what entry hosts report of their work and of what they are asked for: those that rely
- * on this control host, summed up, to the other control hosts, and the work of all others to each
- * entry host. Used on one event loop.
+ * Relays the work and demand that entry hosts report. The reports of the entry hosts whose primary
+ * is this control host are summed up for the other control hosts, and each of these entry hosts
+ * receives the work of all others. Confined to one event loop.
  */
 final class WorkRelay {
 
@@ -30,7 +30,7 @@
     private final NothingOnce demandReports = new NothingOnce();
 
     /**
-     * Creates a relay to which nobody has reported.
+     * Creates a relay without reports.
      *
      * @param toControlHosts sends a frame to the other control hosts
      */
@@ -40,7 +40,10 @@
         this.toControlHosts = toControlHosts;
     }
 
-    /** Takes in how many requests an entry host, or those of another control host, have where. */
+    /**
+     * Records the requests at each instance, as reported by an entry host or, summed up over its
+     * entry hosts, by another control host.
+     */
     void receiveWork(WorkReport report) {
         long now = BootClock.nanos();
         HostId host = new HostId(report.getHost());
@@ -51,7 +54,7 @@
         }
     }
 
-    /** Takes in what an entry host is asked for. */
+    /** Records the demand that an entry host reports. */
     void receiveDemand(DemandReport report) {
         HostId host = new HostId(report.getHost());
         if (followers.isPrimaryOf(host)) {
@@ -59,7 +62,7 @@
         }
     }
 
-    /** Passes the reports of the entry hosts that rely on this host on to the other ones. */
+    /** Sends the sums of the reports to the other control hosts. */
     void relayToControlHosts() {
         long now = BootClock.nanos();
         aggregator.setHostCount(followers.count());
@@ -73,7 +76,7 @@
         }
     }
 
-    /** Tells each entry host the work of the others. */
+    /** Sends each entry host the work of the others. */
     void relayToEntryHosts() {
         followers.sendWork(board);
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/package-info.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/package-info.java
@@ -1,2 +1,4 @@
-/** A control host: the replicated configuration, the list of upstreams, and orders to them. */
+/**
+ * The control host: the replicated configuration, the registry of upstreams, and orders to engines.
+ */
 package io.stackhall.server.control;
