--- a/stackhall-server/src/main/java/io/stackhall/server/control/CrashKeeper.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/CrashTracker.java
@@ -26,58 +26,58 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Gathers on a control host which requests end instances, passes on what is new, and has the
- * control group agree on those that are refused, so that a restart of all hosts does not forget
- * them. Used on one event loop.
+ * Collects on a control host which requests crash instances and forwards new records to other
+ * hosts. The refused requests (sentences) are committed by the control group, so that they survive
+ * a restart of all hosts. Confined to one event loop.
  */
-final class CrashKeeper {
+final class CrashTracker {
 
-    private static final Logger logger = LogManager.getLogger(CrashKeeper.class);
+    private static final Logger logger = LogManager.getLogger(CrashTracker.class);
 
     private static final Duration COMMIT_TIMEOUT = Duration.ofSeconds(3);
 
-    /** Each costs sixteen bytes in the control group's state and in what a new follower is told. */
-    private static final int MOST_SENTENCED = 1000;
+    /** Each takes 16 bytes in the control group's state and in the notice to a new follower. */
+    private static final int MAX_SENTENCED = 1000;
 
     private final EventLoop loop;
-    private final Consumer<Frame> toOthers;
+    private final Consumer<Frame> broadcast;
     private final ControlGroup group;
     private final CrashLedger ledger = new CrashLedger();
     private List<ByteString> sentenced = List.of();
     private boolean committing;
 
-    /** The requests that are refused. */
+    /** The refused requests, as listed for an operator. */
     record Refusals(List<Refusal> refused) {}
 
     /**
-     * One request that is refused.
+     * A refused request.
      *
-     * @param digest names it, as in the logs
-     * @param instances the lives that ended under it, as far as this host remembers
-     * @param secondsLeft how much longer it is refused
+     * @param digest identifies the request, as in the logs
+     * @param instances the incarnations that it crashed, as far as this host remembers
+     * @param secondsLeft how many more seconds it is refused
      */
     record Refusal(String digest, List<String> instances, long secondsLeft) {}
 
     /**
-     * Creates a keeper that knows of nothing.
+     * Creates an empty tracker.
      *
-     * @param toOthers sends a frame to the other control hosts, and to the entry hosts that rely on
-     *     this one
+     * @param broadcast sends a frame to the other control hosts, and to the entry hosts whose
+     *     primary is this host
      */
-    CrashKeeper(EventLoop loop, Consumer<Frame> toOthers, ControlGroup group) {
+    CrashTracker(EventLoop loop, Consumer<Frame> broadcast, ControlGroup group) {
         this.loop = loop;
-        this.toOthers = toOthers;
+        this.broadcast = broadcast;
         this.group = group;
     }
 
-    /** Takes in what an entry host or another control host tells, and passes on what is new. */
-    void heard(CrashNotice notice) {
+    /** Records a notice from an entry host or another control host, and forwards new records. */
+    void receive(CrashNotice notice) {
         long now = BootClock.nanos();
-        CrashNotice.Builder news = CrashCodec.notice();
+        CrashNotice.Builder unseen = CrashCodec.notice();
         for (CrashRecord record : notice.getCrashesList()) {
             Crash crash = CrashCodec.decode(record);
             if (ledger.recordCrash(crash, now)) {
-                news.addCrashes(record);
+                unseen.addCrashes(record);
                 logger.info(
                         "crash.heard instance={} requests={}",
                         crash.incarnation(),
@@ -87,36 +87,36 @@
         for (AcquittalRecord record : notice.getAcquittalsList()) {
             Acquittal acquittal = CrashCodec.decode(record);
             if (ledger.applyAcquittal(acquittal)) {
-                news.addAcquittals(record);
+                unseen.addAcquittals(record);
                 logger.info("crash.taken-back digest={}", acquittal.request());
             }
         }
-        if (news.getCrashesCount() > 0 || news.getAcquittalsCount() > 0) {
-            toOthers.accept(CrashCodec.frame(news));
+        if (unseen.getCrashesCount() > 0 || unseen.getAcquittalsCount() > 0) {
+            broadcast.accept(CrashCodec.frame(unseen));
         }
     }
 
-    /** Takes over what the group has agreed on, and tells of it. */
-    void committed(ControlSnapshot state) {
+    /** Applies the sentences that the group has committed, and notifies other hosts of them. */
+    void applyCommitted(ControlSnapshot state) {
         if (state.getSentencedList().equals(sentenced)) {
             return;
         }
-        List<ByteString> lifted = without(sentenced, state.getSentencedList());
+        List<ByteString> lifted = difference(sentenced, state.getSentencedList());
         sentenced = state.getSentencedList();
         ledger.applySentences(CrashCodec.decode(sentenced), BootClock.nanos());
         ledger.liftSentences(CrashCodec.decode(lifted));
-        toOthers.accept(sentences(state, lifted));
+        broadcast.accept(sentencesFrame(state, lifted));
     }
 
     /**
-     * Returns what the group has agreed on, for an entry host that is about to be told its first
-     * routes: without it, a host sent a request that is refused 2 ms before it heard so.
+     * Returns the committed sentences, for an entry host that is about to receive its first routes.
+     * Without them, a host sent a refused request 2 ms before it learned of the refusal.
      */
-    static Frame sentences(ControlSnapshot state) {
-        return sentences(state, List.of());
+    static Frame sentencesFrame(ControlSnapshot state) {
+        return sentencesFrame(state, List.of());
     }
 
-    private static Frame sentences(ControlSnapshot state, List<ByteString> lifted) {
+    private static Frame sentencesFrame(ControlSnapshot state, List<ByteString> lifted) {
         return CrashCodec.frame(
                 CrashCodec.notice()
                         .setSentenced(
@@ -125,33 +125,33 @@
                                         .addAllLifted(lifted)));
     }
 
-    /** Returns all that is known, for a host that may know nothing. */
-    Frame whole() {
+    /** Returns all known crashes and sentences, for a host that may have received none yet. */
+    Frame fullNotice() {
         return CrashCodec.frame(
                 CrashCodec.notice()
                         .addAllCrashes(ledger.crashes().stream().map(CrashCodec::encode).toList())
                         .setSentenced(Sentence.newBuilder().addAllAdded(sentenced)));
     }
 
-    /** Forgets what no longer counts. */
+    /** Removes expired records. */
     void sweep() {
         ledger.sweep(BootClock.nanos());
     }
 
-    /** Has the group agree on what this host holds against requests; for the leader alone. */
-    void agree() {
-        List<ByteString> wanted =
+    /** Proposes the requests that this host condemns to the group. Called on the leader only. */
+    void proposeSentences() {
+        List<ByteString> condemned =
                 CrashCodec.encode(ledger.condemned(BootClock.nanos())).stream()
-                        .limit(MOST_SENTENCED)
+                        .limit(MAX_SENTENCED)
                         .toList();
-        List<ByteString> added = without(wanted, sentenced);
-        List<ByteString> lifted = without(sentenced, wanted);
+        List<ByteString> added = difference(condemned, sentenced);
+        List<ByteString> lifted = difference(sentenced, condemned);
         if (committing || (added.isEmpty() && lifted.isEmpty())) {
             return;
         }
         committing = true;
         logger.info("sentences.proposed added={} lifted={}", added.size(), lifted.size());
-        byte[] command = ControlLog.sentenceCommand(added, lifted);
+        byte[] command = ControlStateMachine.sentenceCommand(added, lifted);
         Thread.startVirtualThread(
                 () -> {
                     group.command(command, COMMIT_TIMEOUT);
@@ -159,43 +159,44 @@
                 });
     }
 
-    /** Returns the requests that are refused now, as JSON that names each with its evidence. */
-    byte[] refused() {
+    /** Returns the requests that are refused now, each with its evidence, as JSON. */
+    byte[] refusedRequestsJson() {
         long now = BootClock.nanos();
         List<Refusal> all = new ArrayList<>();
         for (RequestDigest request : ledger.condemned(now)) {
-            if (ledger.standing(request, now) instanceof Standing.Condemned(Duration left)) {
-                List<String> lives =
+            if (ledger.standing(request, now) instanceof Standing.Condemned(Duration remaining)) {
+                List<String> incarnations =
                         ledger.incarnations(request).stream()
                                 .map(UpstreamId::toString)
                                 .sorted()
                                 .toList();
-                all.add(new Refusal(request.value(), lives, left.toSeconds()));
+                all.add(new Refusal(request.value(), incarnations, remaining.toSeconds()));
             }
         }
         return Json.write(Refusals.class, new Refusals(all));
     }
 
     /**
-     * Has a request served again on all hosts: what was held against it counts no more, and the
-     * group agrees to refuse it no longer. Ends that come later are held against it anew.
+     * Lifts the refusal of a request on all hosts: discards the evidence against it, and has the
+     * group commit that it is served again. Later crashes count against it anew.
      *
-     * @param operator who asks for it, for the log
-     * @param then told whether the group has agreed, on another thread
+     * @param operator the operator who requested it, for the log
+     * @param onOutcome called with the outcome of the commit, on another thread
      */
-    void lift(RequestDigest request, String operator, Consumer<CommandOutcome> then) {
+    void lift(RequestDigest request, String operator, Consumer<CommandOutcome> onOutcome) {
         logger.info("sentence.lift digest={} operator={}", request, operator);
         ledger.recordHarmlessEnd(request)
                 .map(CrashCodec::encode)
                 .map(CrashCodec.notice()::addAcquittals)
                 .map(CrashCodec::frame)
-                .ifPresent(toOthers);
+                .ifPresent(broadcast);
         byte[] command =
-                ControlLog.liftCommand(CrashCodec.encode(List.of(request)).getFirst(), operator);
-        Thread.startVirtualThread(() -> then.accept(group.command(command, COMMIT_TIMEOUT)));
+                ControlStateMachine.liftCommand(
+                        CrashCodec.encode(List.of(request)).getFirst(), operator);
+        Thread.startVirtualThread(() -> onOutcome.accept(group.command(command, COMMIT_TIMEOUT)));
     }
 
-    private static List<ByteString> without(List<ByteString> all, List<ByteString> those) {
+    private static List<ByteString> difference(List<ByteString> all, List<ByteString> those) {
         List<ByteString> rest = new ArrayList<>(all);
         rest.removeAll(those);
         return rest;
--- a/stackhall-server/src/main/java/io/stackhall/server/control/EntryFollowers.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/EntryFollowers.java
@@ -21,35 +21,39 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** The entry hosts that follow this control host, and what they are told. Used on one loop. */
+/**
+ * The entry hosts that follow this control host, and the updates sent to them. Confined to one
+ * event loop.
+ */
 final class EntryFollowers {
 
     private static final Logger logger = LogManager.getLogger(EntryFollowers.class);
 
-    /** An entry host asks again every second. */
-    private static final long FORGET_NANOS = TimeUnit.SECONDS.toNanos(4);
+    /** Entry hosts repeat their follow request every second. */
+    private static final long EXPIRY_NANOS = TimeUnit.SECONDS.toNanos(4);
 
     /**
-     * What an instance holds changes with orders, of which entry hosts are told apart from this; a
-     * heartbeat that shows the same comes up to 1.2 s later.
+     * How long changes that are not urgent are batched. What an instance holds changes with orders,
+     * of which entry hosts are notified separately; the heartbeat that shows the same change comes
+     * up to 1.2 s later.
      */
-    private static final long HOLDINGS_MILLIS = 150;
+    private static final long BATCH_MILLIS = 150;
 
     private final EventLoop loop;
     private final HostId self;
     private final Map<String, Follower> followers = new HashMap<>();
-    private final Map<UpstreamId, Instance> untold = new LinkedHashMap<>();
-    private boolean tellScheduled;
-    private long workToldAt = BootClock.nanos();
-    private int toldCount;
+    private final Map<UpstreamId, Instance> pendingUpdates = new LinkedHashMap<>();
+    private boolean flushScheduled;
+    private long workSentAt = BootClock.nanos();
+    private int reportedCount;
 
-    /** An entry host that is told of changes. */
+    /** An entry host that receives updates. */
     private static final class Follower {
         private final long connection;
         private Replier replier;
-        private long heardAt;
+        private long followedAt;
         private boolean primary;
-        private final EmptyReportFilter works = new EmptyReportFilter();
+        private final EmptyReportFilter workReports = new EmptyReportFilter();
 
         private Follower(long connection) {
             this.connection = connection;
@@ -62,21 +66,21 @@
     }
 
     /**
-     * Notes that an entry host has asked.
+     * Records a follow request of an entry host.
      *
-     * @return whether it has newly taken this host as its primary, so that it is to be told
-     *     everything
+     * @return whether the entry host has newly chosen this host as its primary and needs the full
+     *     state
      */
-    boolean asked(FleetFollow follow, Replier replier) {
+    boolean recordFollow(FleetFollow follow, Replier replier) {
         Follower known = followers.get(follow.getHost());
-        boolean anew = known == null || known.connection != follow.getConnection();
-        Follower follower = anew ? new Follower(follow.getConnection()) : known;
+        boolean isNew = known == null || known.connection != follow.getConnection();
+        Follower follower = isNew ? new Follower(follow.getConnection()) : known;
         boolean newlyPrimary = follow.getPrimary() && !follower.primary;
         follower.primary = follow.getPrimary();
         follower.replier = replier;
-        follower.heardAt = BootClock.nanos();
+        follower.followedAt = BootClock.nanos();
         followers.put(follow.getHost(), follower);
-        if (anew) {
+        if (isNew) {
             logger.info(
                     "follower.joined host={} version={}",
                     follow.getHost(),
@@ -85,7 +89,7 @@
         return newlyPrimary;
     }
 
-    /** Returns whether an entry host has this one as its primary. */
+    /** Returns whether this host is the primary of an entry host. */
     boolean isPrimaryOf(HostId host) {
         Follower follower = followers.get(host.value());
         return follower != null && follower.primary;
@@ -95,12 +99,12 @@
         return followers.size();
     }
 
-    /** Sends a frame to each. */
+    /** Sends a frame to all followers. */
     void send(Frame frame) {
         followers.values().forEach(follower -> follower.replier.send(frame));
     }
 
-    /** Sends a frame to each that has this host as its primary. */
+    /** Sends a frame to the followers whose primary is this host. */
     void sendToPrimaries(Frame frame) {
         for (Follower follower : followers.values()) {
             if (follower.primary) {
@@ -109,7 +113,7 @@
         }
     }
 
-    /** Sends a frame to each that has another host as its primary. */
+    /** Sends a frame to the followers whose primary is another host. */
     void sendToOthers(Frame frame) {
         for (Follower follower : followers.values()) {
             if (!follower.primary) {
@@ -118,70 +122,74 @@
         }
     }
 
-    /** Tells each at once of instances that come, go, drain or serve a further model. */
-    void begun(Collection<Instance> instances) {
+    /**
+     * Notifies all followers at once of instances that join, leave, drain or serve an additional
+     * model.
+     */
+    void sendNow(Collection<Instance> instances) {
         if (instances.isEmpty()) {
             return;
         }
-        instances.forEach(instance -> untold.remove(instance.id()));
+        instances.forEach(instance -> pendingUpdates.remove(instance.id()));
         send(InstanceCodec.frame(instances, false, followers.size()));
     }
 
     /**
-     * Tells those that have this host as their primary what else has changed of instances, together
-     * with what changes within 150 ms.
+     * Notifies the followers whose primary is this host of other changes to instances, batched with
+     * those of the next 150 ms.
      */
-    void changed(Collection<Instance> instances) {
-        instances.forEach(instance -> untold.put(instance.id(), instance));
-        if (!untold.isEmpty() && !tellScheduled) {
-            tellScheduled = true;
-            loop.schedule(this::tellChanges, HOLDINGS_MILLIS, TimeUnit.MILLISECONDS);
+    void sendBatched(Collection<Instance> instances) {
+        instances.forEach(instance -> pendingUpdates.put(instance.id(), instance));
+        if (!pendingUpdates.isEmpty() && !flushScheduled) {
+            flushScheduled = true;
+            loop.schedule(this::flushPending, BATCH_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void tellChanges() {
-        tellScheduled = false;
-        if (!untold.isEmpty()) {
+    private void flushPending() {
+        flushScheduled = false;
+        if (!pendingUpdates.isEmpty()) {
             sendToPrimaries(
-                    InstanceCodec.frame(List.copyOf(untold.values()), false, followers.size()));
-            untold.clear();
+                    InstanceCodec.frame(
+                            List.copyOf(pendingUpdates.values()), false, followers.size()));
+            pendingUpdates.clear();
         }
     }
 
     /**
-     * Tells each that has this host as its primary the work of the others, less often the more of
-     * them there are.
+     * Sends each follower whose primary is this host the work of the other hosts; the more such
+     * followers there are, the longer the interval.
      */
-    void tellWork(HostWorkReports works) {
+    void sendWork(HostWorkReports board) {
         long now = BootClock.nanos();
         long primaries = followers.values().stream().filter(one -> one.primary).count();
-        ReportTiming pace = new ReportTiming(Math.toIntExact(primaries));
-        if (now - workToldAt < pace.interval().toNanos()) {
+        ReportTiming timing = new ReportTiming(Math.toIntExact(primaries));
+        if (now - workSentAt < timing.interval().toNanos()) {
             return;
         }
-        workToldAt = now;
-        works.setHostCount(followers.size());
-        followers.forEach((host, follower) -> tellWork(works, new HostId(host), follower, now));
+        workSentAt = now;
+        board.setHostCount(followers.size());
+        followers.forEach((host, follower) -> sendWork(board, new HostId(host), follower, now));
     }
 
-    /** What nobody works on is told once. */
-    private void tellWork(HostWorkReports works, HostId host, Follower follower, long now) {
+    /** A report without work is sent only once in a row. */
+    private void sendWork(HostWorkReports board, HostId host, Follower follower, long now) {
         if (!follower.primary) {
             return;
         }
-        Frame others = works.frameExcluding(host, self, now);
-        if (follower.works.isDue(others.getWork().getWorkCount() > 0)) {
+        Frame others = board.frameExcluding(host, self, now);
+        if (follower.workReports.isDue(others.getWork().getWorkCount() > 0)) {
             follower.replier.send(others);
         }
     }
 
-    /** Forgets those that have stopped asking, and tells the others how many are left. */
+    /** Removes followers that have stopped following, and notifies the rest of their new count. */
     void sweep() {
         long now = BootClock.nanos();
-        followers.values().removeIf(follower -> now - follower.heardAt > FORGET_NANOS);
-        if (followers.size() != toldCount && !followers.isEmpty()) {
-            toldCount = followers.size();
-            send(InstanceCodec.frame(List.of(), false, toldCount));
+        followers.values().removeIf(follower -> now - follower.followedAt > EXPIRY_NANOS);
+        if (followers.size() != reportedCount && !followers.isEmpty()) {
+            reportedCount = followers.size();
+            send(InstanceCodec.frame(List.of(), false, reportedCount));
         }
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/control/WorkRelay.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/control/WorkRelay.java
@@ -15,22 +15,22 @@
 import java.util.function.Consumer;
 
 /**
- * Passes on what entry hosts report of their work and of what they are asked for: those that rely
- * on this control host, summed up, to the other control hosts, and the work of all others to each
- * entry host. Used on one event loop.
+ * Relays the work and demand that entry hosts report. The reports of the entry hosts whose primary
+ * is this control host are summed up for the other control hosts, and each of these entry hosts
+ * receives the work of all others. Confined to one event loop.
  */
 final class WorkRelay {
 
     private final HostId self;
     private final EntryFollowers followers;
     private final Consumer<Frame> toControlHosts;
-    private final HostWorkReports works = new HostWorkReports();
-    private final ReportAggregator sum = new ReportAggregator();
-    private final EmptyReportFilter worksToTell = new EmptyReportFilter();
-    private final EmptyReportFilter demandsToTell = new EmptyReportFilter();
+    private final HostWorkReports board = new HostWorkReports();
+    private final ReportAggregator aggregator = new ReportAggregator();
+    private final EmptyReportFilter workReports = new EmptyReportFilter();
+    private final EmptyReportFilter demandReports = new EmptyReportFilter();
 
     /**
-     * Creates a relay to which nobody has reported.
+     * Creates a relay without reports.
      *
      * @param toControlHosts sends a frame to the other control hosts
      */
@@ -40,41 +40,44 @@
         this.toControlHosts = toControlHosts;
     }
 
-    /** Takes in how many requests an entry host, or those of another control host, have where. */
-    void worked(WorkReport report) {
+    /**
+     * Records the requests at each instance, as reported by an entry host or, summed up over its
+     * entry hosts, by another control host.
+     */
+    void receiveWork(WorkReport report) {
         long now = BootClock.nanos();
         HostId host = new HostId(report.getHost());
-        works.receive(report, now);
+        board.receive(report, now);
         if (followers.isPrimaryOf(host)) {
-            sum.addWork(host, WorkCodec.decode(report), now);
-            sum.addUnreadTokens(host, WorkCodec.unreadTokens(report), now);
+            aggregator.addWork(host, WorkCodec.decode(report), now);
+            aggregator.addUnreadTokens(host, WorkCodec.unreadTokens(report), now);
         }
     }
 
-    /** Takes in what an entry host is asked for. */
-    void demanded(DemandReport report) {
+    /** Records the demand that an entry host reports. */
+    void receiveDemand(DemandReport report) {
         HostId host = new HostId(report.getHost());
         if (followers.isPrimaryOf(host)) {
-            sum.addDemand(host, WorkCodec.decode(report), BootClock.nanos());
+            aggregator.addDemand(host, WorkCodec.decode(report), BootClock.nanos());
         }
     }
 
-    /** Passes the reports of the entry hosts that rely on this host on to the other ones. */
-    void passOn() {
+    /** Sends the sums of the reports to the other control hosts. */
+    void relayToControlHosts() {
         long now = BootClock.nanos();
-        sum.setHostCount(followers.count());
-        Map<UpstreamId, InstanceWork> work = sum.takeWork(now);
-        if (worksToTell.isDue(!work.isEmpty())) {
-            toControlHosts.accept(WorkCodec.encodeOwn(self, work, sum.unreadTokens(now)));
+        aggregator.setHostCount(followers.count());
+        Map<UpstreamId, InstanceWork> work = aggregator.takeWork(now);
+        if (workReports.isDue(!work.isEmpty())) {
+            toControlHosts.accept(WorkCodec.encodeOwn(self, work, aggregator.unreadTokens(now)));
         }
-        Map<String, ReportAggregator.Demand> asked = sum.takeDemand(now);
-        if (demandsToTell.isDue(!asked.isEmpty())) {
+        Map<String, ReportAggregator.Demand> asked = aggregator.takeDemand(now);
+        if (demandReports.isDue(!asked.isEmpty())) {
             toControlHosts.accept(WorkCodec.encode(self, asked));
         }
     }
 
-    /** Tells each entry host the work of the others. */
-    void tellEntryHosts() {
-        followers.tellWork(works);
+    /** Sends each entry host the work of the others. */
+    void relayToEntryHosts() {
+        followers.sendWork(board);
     }
 }
