--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/AllowanceClient.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/AllowanceClient.java
@@ -32,24 +32,25 @@
     private static final Logger logger = LogManager.getLogger(AllowanceClient.class);
 
     /** A sound leader answers within some milliseconds; the shortest objectives are 120 ms. */
-    private static final Duration PATIENCE = Duration.ofMillis(100);
+    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(100);
 
     /** How often a leader that did not answer is asked whether it does again. */
-    private static final Duration PROBE = Duration.ofMillis(150);
+    private static final Duration PROBE_INTERVAL = Duration.ofMillis(150);
 
     private final EventLoop loop;
-    private final ControlWay way;
-    private final OutageAllowance outage;
-    private final IntSupplier entryHosts;
-    private final Map<Long, Claim> claims = new LinkedHashMap<>();
+    private final ControlHostConnections controlHosts;
+    private final OutageAllowance outageAllowance;
+    private final IntSupplier entryHostCount;
+    private final Map<Long, PendingClaim> pendingClaims = new LinkedHashMap<>();
     private List<AllowanceClaim> unsent = new ArrayList<>();
     private Optional<HostId> leader = Optional.empty();
-    private long lastNumber;
-    private boolean silent;
-    private long probedAt;
+    private long lastClaimNumber;
+    private boolean leaderUnresponsive;
+    private long lastProbeAt;
 
     /** A request whose decision is awaited. */
-    private record Claim(Customer customer, double cost, Consumer<AllowanceVerdict> decided) {}
+    private record PendingClaim(
+            Customer customer, double cost, Consumer<AllowanceVerdict> onDecision) {}
 
     /**
      * Creates a client that knows of no leader.
@@ -57,11 +58,14 @@
      * @param entryHosts tells how many entry hosts share what is allowed during outages
      */
     AllowanceClient(
-            EventLoop loop, ControlWay way, OutageAllowance outage, IntSupplier entryHosts) {
+            EventLoop loop,
+            ControlHostConnections way,
+            OutageAllowance outage,
+            IntSupplier entryHosts) {
         this.loop = loop;
-        this.way = way;
-        this.outage = outage;
-        this.entryHosts = entryHosts;
+        this.controlHosts = way;
+        this.outageAllowance = outage;
+        this.entryHostCount = entryHosts;
     }
 
     /**
@@ -70,23 +74,25 @@
      * @param returned what was granted for it before and has not been run
      * @param decided told of the decision, always later
      */
-    void ask(Customer customer, double cost, double returned, Consumer<AllowanceVerdict> decided) {
-        Claim claim = new Claim(customer, cost, decided);
-        if (silent) {
+    void claim(
+            Customer customer, double cost, double returned, Consumer<AllowanceVerdict> decided) {
+        PendingClaim claim = new PendingClaim(customer, cost, decided);
+        if (leaderUnresponsive) {
             probe(BootClock.nanos());
-            loop.execute(() -> decideAlone(claim));
+            loop.execute(() -> decideLocally(claim));
             return;
         }
-        long number = ++lastNumber;
-        claims.put(number, claim);
-        add(encode(number, claim).setReturned(returned).build());
-        loop.schedule(() -> overdue(number), PATIENCE.toMillis(), TimeUnit.MILLISECONDS);
+        long number = ++lastClaimNumber;
+        pendingClaims.put(number, claim);
+        enqueue(encode(number, claim).setReturned(returned).build());
+        loop.schedule(
+                () -> handleTimeout(number), ANSWER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /** Gives back what was granted and has not been run. */
-    void giveBack(Customer customer, double cost) {
-        if (!silent) {
-            add(
+    void returnUnused(Customer customer, double cost) {
+        if (!leaderUnresponsive) {
+            enqueue(
                     AllowanceClaim.newBuilder()
                             .setCustomer(customer.id().value())
                             .setReturned(cost)
@@ -95,37 +101,37 @@
     }
 
     /** Takes in what a control host answers. */
-    void received(AllowanceAnswer answer) {
+    void receive(AllowanceAnswer answer) {
         if (answer.getLeads()) {
             leader = Optional.of(new HostId(answer.getLeader()));
-            if (silent) {
-                silent = false;
+            if (leaderUnresponsive) {
+                leaderUnresponsive = false;
                 logger.info("allowance.granted-again leader={}", answer.getLeader());
             }
-            answer.getDecisionsList().forEach(this::decided);
+            answer.getDecisionsList().forEach(this::applyDecision);
         } else if (!answer.getLeader().isEmpty()) {
-            follow(new HostId(answer.getLeader()));
+            switchLeader(new HostId(answer.getLeader()));
         }
     }
 
     /** Asks again, at another host, what nobody has decided yet. */
-    private void follow(HostId next) {
+    private void switchLeader(HostId next) {
         if (leader.filter(next::equals).isPresent()) {
             return;
         }
         leader = Optional.of(next);
-        claims.forEach((number, claim) -> add(encode(number, claim).build()));
-        if (silent) {
+        pendingClaims.forEach((number, claim) -> enqueue(encode(number, claim).build()));
+        if (leaderUnresponsive) {
             probe(BootClock.nanos());
         }
     }
 
-    private void decided(AllowanceDecision decision) {
-        Claim claim = claims.remove(decision.getNumber());
+    private void applyDecision(AllowanceDecision decision) {
+        PendingClaim claim = pendingClaims.remove(decision.getNumber());
         if (claim == null) {
             return;
         }
-        claim.decided()
+        claim.onDecision()
                 .accept(
                         decision.getGranted()
                                 ? new AllowanceVerdict.Granted()
@@ -134,39 +140,39 @@
     }
 
     /** What is granted after this is not given back: it was decided otherwise. */
-    private void overdue(long number) {
-        Claim claim = claims.remove(number);
+    private void handleTimeout(long number) {
+        PendingClaim claim = pendingClaims.remove(number);
         if (claim == null) {
             return;
         }
-        if (!silent) {
-            silent = true;
+        if (!leaderUnresponsive) {
+            leaderUnresponsive = true;
             logger.info("allowance.unanswered leader={}", leader.orElse(null));
         }
         probe(BootClock.nanos());
-        decideAlone(claim);
+        decideLocally(claim);
     }
 
-    private void decideAlone(Claim claim) {
-        claim.decided()
+    private void decideLocally(PendingClaim claim) {
+        claim.onDecision()
                 .accept(
-                        outage.take(
+                        outageAllowance.take(
                                 claim.customer().id(),
                                 claim.customer().limit().orElseThrow(),
                                 claim.cost(),
-                                entryHosts.getAsInt(),
+                                entryHostCount.getAsInt(),
                                 BootClock.nanos()));
     }
 
     private void probe(long now) {
-        if (now - probedAt < PROBE.toNanos()) {
+        if (now - lastProbeAt < PROBE_INTERVAL.toNanos()) {
             return;
         }
-        probedAt = now;
-        way.sendToAll(frame(List.of()));
+        lastProbeAt = now;
+        controlHosts.sendToAll(frame(List.of()));
     }
 
-    private void add(AllowanceClaim claim) {
+    private void enqueue(AllowanceClaim claim) {
         unsent.add(claim);
         if (unsent.size() == 1) {
             loop.execute(this::flush);
@@ -176,15 +182,15 @@
     private void flush() {
         List<AllowanceClaim> together = unsent;
         unsent = new ArrayList<>();
-        Optional<HostId> to = leader.or(() -> way.connected().stream().findFirst());
-        boolean sent = to.filter(host -> way.send(host, frame(together))).isPresent();
+        Optional<HostId> to = leader.or(() -> controlHosts.connected().stream().findFirst());
+        boolean sent = to.filter(host -> controlHosts.send(host, frame(together))).isPresent();
         if (!sent) {
             leader = Optional.empty();
             probe(BootClock.nanos());
         }
     }
 
-    private static AllowanceClaim.Builder encode(long number, Claim claim) {
+    private static AllowanceClaim.Builder encode(long number, PendingClaim claim) {
         return AllowanceClaim.newBuilder()
                 .setNumber(number)
                 .setCustomer(claim.customer().id().value())
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/AnswerWriter.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/AnswerWriter.java
@@ -8,13 +8,13 @@
 interface AnswerWriter {
 
     /** Writes a whole answer. */
-    void answer(FullHttpResponse response);
+    void writeAnswer(FullHttpResponse response);
 
     /** Writes the head of an answer whose body follows in parts. */
-    void begin(HttpResponse head);
+    void writeHead(HttpResponse head);
 
     /** Writes a part of the body; takes the buffer over. */
-    void part(ByteBuf bytes);
+    void writePart(ByteBuf bytes);
 
     /** Ends the body. */
     void end();
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/AttemptListener.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/AttemptListener.java
@@ -8,17 +8,17 @@
 interface AttemptListener {
 
     /** The request is about to be written. */
-    void sending();
+    void onSending();
 
     /** A whole event of a stream has come; takes the buffer over. */
-    void event(HttpResponse head, EventAssembler.Event event);
+    void onEvent(HttpResponse head, EventAssembler.Event event);
 
     /** The stream has ended whole; takes the buffer over, which holds what followed its events. */
-    void streamEnded(HttpResponse head, ByteBuf rest);
+    void onStreamEnd(HttpResponse head, ByteBuf rest);
 
     /** A whole answer that is no stream has come; takes the buffer over. */
-    void answered(HttpResponse head, ByteBuf body);
+    void onAnswer(HttpResponse head, ByteBuf body);
 
     /** The instance has broken off or could not be reached. */
-    void brokeOff(CallFailure failure);
+    void onFailure(CallFailure failure);
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/CallerConnection.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/CallerConnection.java
@@ -125,7 +125,7 @@
     }
 
     @Override
-    public void answer(FullHttpResponse response) {
+    public void writeAnswer(FullHttpResponse response) {
         boolean stays = keep && !gateway.draining();
         HttpUtil.setContentLength(response, response.content().readableBytes());
         mark(response, stays);
@@ -140,7 +140,7 @@
     }
 
     @Override
-    public void begin(HttpResponse response) {
+    public void writeHead(HttpResponse response) {
         keep = keep && !gateway.draining();
         mark(response, keep);
         HttpUtil.setTransferEncodingChunked(response, true);
@@ -148,7 +148,7 @@
     }
 
     @Override
-    public void part(ByteBuf bytes) {
+    public void writePart(ByteBuf bytes) {
         context.writeAndFlush(new DefaultHttpContent(bytes));
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/CallerRequest.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/CallerRequest.java
@@ -43,12 +43,12 @@
     }
 
     /** Returns the digests of the customers' keys that it carries. */
-    List<KeyDigest> keys() {
+    List<KeyDigest> keyDigests() {
         return RequestHeaders.keys(headers.getAll(Headers.AUTHORIZATION));
     }
 
     /** Returns the tokens of its prompt and the most of its answer, 0 where it does not say. */
-    int tokens() {
+    int tokenCount() {
         RequestHeaders.Prompt prompt = RequestHeaders.prompt(headers::get);
         return prompt.promptTokens() + prompt.answerTokens();
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlWay.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlHostConnections.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** The connections of an entry host to the control hosts. */
-interface ControlWay {
+interface ControlHostConnections {
 
     /** Sends a frame to a control host, if it is connected. */
     boolean send(HostId host, Frame frame);
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlNotices.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlNotifier.java
@@ -16,33 +16,33 @@
 import java.util.function.Consumer;
 
 /** Tells the control hosts what requests have met, the same again only after a while. */
-final class ControlNotices {
+final class ControlNotifier {
 
     /** An order takes some ten milliseconds; told again, it does no harm. */
-    private static final long AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    private static final long REPEAT_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
     private final HostId self;
     private final Consumer<Frame> toControlHosts;
-    private final Map<Frame, Long> told = new HashMap<>();
+    private final Map<Frame, Long> lastSentAt = new HashMap<>();
 
-    ControlNotices(HostId self, Consumer<Frame> toControlHosts) {
+    ControlNotifier(HostId self, Consumer<Frame> toControlHosts) {
         this.self = self;
         this.toControlHosts = toControlHosts;
     }
 
     /** Says that a request waits for an adapter. */
-    void wantAdapter(Instance instance, Need need) {
+    void notifyAdapterWanted(Instance instance, Need need) {
         AdapterWanted wanted =
                 AdapterWanted.newBuilder()
                         .setInstance(instance.id().toString())
                         .setModel(need.model().orElseThrow().value())
                         .setAdapter(need.adapter().orElseThrow())
                         .build();
-        tell(Frame.newBuilder().setAdapterWanted(wanted).build());
+        sendUnlessRecent(Frame.newBuilder().setAdapterWanted(wanted).build());
     }
 
     /** Says that no connection to an instance came up. */
-    void unreachable(Instance instance, Stage stage) {
+    void notifyUnreachable(Instance instance, Stage stage) {
         if (stage != Stage.REFUSED && stage != Stage.NO_CONNECTION) {
             return;
         }
@@ -52,16 +52,16 @@
                         .setHost(self.value())
                         .setRefused(stage == Stage.REFUSED)
                         .build();
-        tell(Frame.newBuilder().setInstanceUnreachable(unreachable).build());
+        sendUnlessRecent(Frame.newBuilder().setInstanceUnreachable(unreachable).build());
     }
 
     /** Says that an instance has said in an answer that it leaves. */
-    void leaving(UpstreamId id) {
-        tell(leavingOf(id));
+    void notifyLeaving(UpstreamId id) {
+        sendUnlessRecent(leavingFrame(id));
     }
 
     /** Returns the frame that says that an instance leaves. */
-    Frame leavingOf(UpstreamId id) {
+    Frame leavingFrame(UpstreamId id) {
         InstanceLeaving leaving =
                 InstanceLeaving.newBuilder()
                         .setInstance(id.toString())
@@ -73,14 +73,14 @@
     /** Forgets what was told long ago. */
     void sweep() {
         long now = BootClock.nanos();
-        told.values().removeIf(at -> now - at >= AGAIN_NANOS);
+        lastSentAt.values().removeIf(at -> now - at >= REPEAT_INTERVAL_NANOS);
     }
 
-    private void tell(Frame frame) {
+    private void sendUnlessRecent(Frame frame) {
         long now = BootClock.nanos();
-        Long last = told.get(frame);
-        if (last == null || now - last >= AGAIN_NANOS) {
-            told.put(frame, now);
+        Long last = lastSentAt.get(frame);
+        if (last == null || now - last >= REPEAT_INTERVAL_NANOS) {
+            lastSentAt.put(frame, now);
             toControlHosts.accept(frame);
         }
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlFollower.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlSubscriber.java
@@ -37,32 +37,32 @@
  * Keeps an entry host's routes and instances as the control hosts tell them. It follows several, so
  * that one that is cut off or slow holds nothing up. Used on one event loop.
  */
-final class ControlFollower {
+final class ControlSubscriber {
 
-    private static final Logger logger = LogManager.getLogger(ControlFollower.class);
+    private static final Logger logger = LogManager.getLogger(ControlSubscriber.class);
 
     /** A quorum answers within some milliseconds; one question in a second may be lost. */
-    private static final Duration CONFIRMATION_OVERDUE = Duration.ofMillis(1500);
+    private static final Duration CONFIRMATION_TIMEOUT = Duration.ofMillis(1500);
 
     /** An entry host never judges silence itself: control hosts tell. */
-    private static final Duration NEVER = Duration.ofDays(365);
+    private static final Duration SILENCE_TIMEOUT = Duration.ofDays(365);
 
     private final FleetSettings settings;
     private final EventLoop loop;
     private final PeerTransport transport;
-    private final ControlHosts hosts;
+    private final ControlHosts controlHosts;
     private final Gateway gateway;
     private final RandomGenerator random;
-    private final InstanceTable table = new InstanceTable(NEVER);
-    private final Map<HostId, Long> connections = new HashMap<>();
+    private final InstanceTable instanceTable = new InstanceTable(SILENCE_TIMEOUT);
+    private final Map<HostId, Long> connectionNumbers = new HashMap<>();
     private boolean knowsInstances;
-    private final WorkBoard works = new WorkBoard();
-    private final PrimarySelector primaries;
+    private final WorkBoard workBoard = new WorkBoard();
+    private final PrimarySelector primarySelector;
     private Optional<HostId> primary = Optional.empty();
-    private final RoutesFollower routes;
-    private EvacuatedZones evacuated = EvacuatedZones.none();
+    private final RoutesUpdater routesUpdater;
+    private EvacuatedZones evacuatedZones = EvacuatedZones.none();
 
-    ControlFollower(
+    ControlSubscriber(
             FleetSettings settings,
             EventLoop loop,
             PeerTransport transport,
@@ -72,74 +72,77 @@
         this.settings = settings;
         this.loop = loop;
         this.transport = transport;
-        this.hosts = hosts;
+        this.controlHosts = hosts;
         this.gateway = gateway;
         this.random = random;
-        this.primaries = new PrimarySelector(settings.peerName(), settings.zone());
-        this.routes = new RoutesFollower(loop, gateway, this::askForRoutes);
-        gateway.upstreamWords().onLeaving(id -> table.drain(id).forEach(gateway::changed));
+        this.primarySelector = new PrimarySelector(settings.peerName(), settings.zone());
+        this.routesUpdater = new RoutesUpdater(loop, gateway, this::requestRoutes);
+        gateway.upstreamWords()
+                .setLeavingListener(id -> instanceTable.drain(id).forEach(gateway::changed));
     }
 
     /** Puts routes into force that nobody has confirmed for long enough. */
-    void obeyRoutes() {
-        routes.obey();
+    void activateRoutes() {
+        routesUpdater.activateIfAllowed();
     }
 
     /** Returns whether this host knows enough to take callers' requests. */
-    boolean ready() {
+    boolean isReady() {
         return gateway.knowsRoutes() && knowsInstances;
     }
 
     /** A connection to a control host has come up. */
-    void connected(HostId host) {
+    void onConnected(HostId host) {
         loop.execute(
                 () -> {
-                    connections.put(host, random.nextLong(1, Long.MAX_VALUE));
+                    connectionNumbers.put(host, random.nextLong(1, Long.MAX_VALUE));
                     gateway.quarantine().whole().ifPresent(frame -> transport.send(host, frame));
-                    gateway.upstreamWords().whole().forEach(frame -> transport.send(host, frame));
-                    follow(host);
+                    gateway.upstreamWords()
+                            .leavingFrames()
+                            .forEach(frame -> transport.send(host, frame));
+                    subscribe(host);
                 });
     }
 
     /** Asks every control host again, so that what was lost is told again. */
-    void followAll() {
-        choosePrimary();
-        connected().forEach(this::follow);
+    void subscribeToAll() {
+        selectPrimary();
+        connectedHosts().forEach(this::subscribe);
     }
 
     /**
      * Has a quorum confirm the routes in force, by way of the primary; once that has failed, by way
      * of every control host.
      */
-    void renewTrust() {
-        boolean overdue = gateway.customers().trustAge().compareTo(CONFIRMATION_OVERDUE) > 0;
-        connected().stream()
+    void requestConfirmation() {
+        boolean overdue = gateway.customers().confirmationAge().compareTo(CONFIRMATION_TIMEOUT) > 0;
+        connectedHosts().stream()
                 .filter(host -> overdue || primary.filter(host::equals).isPresent())
-                .forEach(host -> follow(host, true));
+                .forEach(host -> subscribe(host, true));
     }
 
-    private List<HostId> connected() {
-        return hosts.all().stream().filter(transport::connected).toList();
+    private List<HostId> connectedHosts() {
+        return controlHosts.all().stream().filter(transport::connected).toList();
     }
 
     /** Sends a report to the primary, which passes it on. */
-    void tellPrimary(Frame frame) {
+    void sendToPrimary(Frame frame) {
         boolean sent = primary.filter(host -> transport.send(host, frame)).isPresent();
         if (!sent) {
-            choosePrimary();
+            selectPrimary();
             primary.ifPresent(host -> transport.send(host, frame));
         }
     }
 
     /** Returns how many entry hosts the primary serves, if all control hosts serve alike. */
-    int sharing() {
-        int controlHosts = Math.max(1, hosts.connected().size());
-        return Math.ceilDiv(gateway.entryHosts(), controlHosts);
+    int entryHostsPerControlHost() {
+        int connected = Math.max(1, controlHosts.connected().size());
+        return Math.ceilDiv(gateway.entryHosts(), connected);
     }
 
     /** Takes another primary at once where that of before is no longer the best. */
-    private void choosePrimary() {
-        Optional<HostId> best = primaries.select(hosts.connected(), BootClock.nanos());
+    private void selectPrimary() {
+        Optional<HostId> best = primarySelector.select(controlHosts.connected(), BootClock.nanos());
         if (best.equals(primary)) {
             return;
         }
@@ -149,100 +152,102 @@
                 primary.map(HostId::value).orElse(""));
         Optional<HostId> former = primary;
         primary = best;
-        former.ifPresent(this::follow);
-        best.ifPresent(this::follow);
+        former.ifPresent(this::subscribe);
+        best.ifPresent(this::subscribe);
     }
 
     /** Sends a frame to every control host. */
-    void tellAll(Frame frame) {
-        hosts.all().forEach(host -> transport.send(host, frame));
+    void sendToAll(Frame frame) {
+        controlHosts.all().forEach(host -> transport.send(host, frame));
     }
 
     /** Takes a frame from a control host, on any thread. */
-    void received(Frame frame, Replier replier) {
-        loop.execute(() -> receivedOnLoop(frame, replier));
+    void receive(Frame frame, Replier replier) {
+        loop.execute(() -> receiveOnLoop(frame, replier));
     }
 
-    private void receivedOnLoop(Frame frame, Replier replier) {
+    private void receiveOnLoop(Frame frame, Replier replier) {
         switch (frame.getBodyCase()) {
             case INTRODUCTION -> {
-                hosts.introduced(frame.getIntroduction());
-                choosePrimary();
+                controlHosts.introduced(frame.getIntroduction());
+                selectPrimary();
                 if (!frame.getIntroduction().getAnswer()) {
-                    replier.send(hosts.introduction(true));
+                    replier.send(controlHosts.introduction(true));
                 }
             }
-            case INSTANCES -> instances(frame.getInstances());
-            case ROUTES -> routes.told(frame.getRoutes());
-            case RESIDENCY -> residency(frame.getResidency());
-            case WORK -> work(frame.getWork());
-            case EVACUATED -> evacuated(EvacuationCodec.decode(frame.getEvacuated()));
-            case CRASH_NOTICE -> crashes(frame.getCrashNotice());
-            case LIMIT_WORDS -> limitsTold(frame.getLimitWords());
-            case PERMIT_REPLY -> permitReplied(frame.getPermitReply());
+            case INSTANCES -> updateInstances(frame.getInstances());
+            case ROUTES -> routesUpdater.receive(frame.getRoutes());
+            case RESIDENCY -> updateResidency(frame.getResidency());
+            case WORK -> updateWork(frame.getWork());
+            case EVACUATED -> updateEvacuatedZones(EvacuationCodec.decode(frame.getEvacuated()));
+            case CRASH_NOTICE -> receiveCrashNotice(frame.getCrashNotice());
+            case LIMIT_WORDS -> updateLimits(frame.getLimitWords());
+            case PERMIT_REPLY -> receivePermitReply(frame.getPermitReply());
             case ALLOWANCE_ANSWER ->
-                    gateway.customers().allowances().received(frame.getAllowanceAnswer());
+                    gateway.customers().allowanceClient().receive(frame.getAllowanceAnswer());
             default -> logger.debug("peer.frame-ignored kind={}", frame.getBodyCase());
         }
     }
 
-    private void instances(InstancesUpdate update) {
+    private void updateInstances(InstancesUpdate update) {
         if (update.getOutOfTouch()) {
-            primary.ifPresent(host -> primaries.recordDecline(host, BootClock.nanos()));
-            choosePrimary();
+            primary.ifPresent(host -> primarySelector.recordDecline(host, BootClock.nanos()));
+            selectPrimary();
             return;
         }
-        update.getInstancesList().forEach(this::instance);
+        update.getInstancesList().forEach(this::updateInstance);
         gateway.entryHosts(update.getEntryHosts());
         knowsInstances |= update.getWhole();
         gateway.serveWaiting();
     }
 
-    private void instance(InstanceRecord record) {
+    private void updateInstance(InstanceRecord record) {
         InstanceCodec.decode(record)
                 .peek(
                         instance ->
-                                table.merge(instance, BootClock.nanos()).forEach(gateway::changed))
+                                instanceTable
+                                        .merge(instance, BootClock.nanos())
+                                        .forEach(gateway::changed))
                 .peekLeft(finding -> logger.warn("upstream.record-refused {}", finding));
     }
 
-    private void limitsTold(LimitWords words) {
-        if (gateway.upstreamLimits().told(words)) {
+    private void updateLimits(LimitWords words) {
+        if (gateway.upstreamLimits().receiveUpdates(words)) {
             gateway.serveWaiting();
         }
     }
 
-    private void permitReplied(PermitReply reply) {
-        if (gateway.upstreamLimits().answered(reply)) {
+    private void receivePermitReply(PermitReply reply) {
+        if (gateway.upstreamLimits().receivePermitReply(reply)) {
             gateway.serveWaiting();
         }
     }
 
-    private void crashes(CrashNotice notice) {
+    private void receiveCrashNotice(CrashNotice notice) {
         gateway.quarantine().received(notice);
         gateway.serveWaiting();
     }
 
-    private void work(WorkReport report) {
+    private void updateWork(WorkReport report) {
         long now = BootClock.nanos();
-        works.shared(gateway.entryHosts());
-        works.reported(report, now);
-        gateway.dispatcher().updateRemoteRequests(works.mostRequests(now), now);
-        gateway.dispatcher().updateRemoteUnreadTokens(works.mostUnread(now), now);
+        workBoard.shared(gateway.entryHosts());
+        workBoard.reported(report, now);
+        gateway.dispatcher().updateRemoteRequests(workBoard.mostRequests(now), now);
+        gateway.dispatcher().updateRemoteUnreadTokens(workBoard.mostUnread(now), now);
     }
 
-    private void evacuated(EvacuatedZones told) {
-        EvacuatedZones newest = evacuated.newer(told);
-        if (newest.equals(evacuated)) {
+    private void updateEvacuatedZones(EvacuatedZones told) {
+        EvacuatedZones newest = evacuatedZones.newer(told);
+        if (newest.equals(evacuatedZones)) {
             return;
         }
-        evacuated = newest;
+        evacuatedZones = newest;
         logger.info("evacuations.in-force revision={} zones={}", newest.revision(), newest.zones());
         gateway.dispatcher().setEvacuatedZones(newest);
         gateway.serveWaiting();
     }
 
-    private void residency(ResidencyChange change) {
+    private void updateResidency(ResidencyChange change) {
         if (change.getComingMillis() > 0) {
             gateway.dispatcher()
                     .loadStarted(
@@ -264,34 +269,36 @@
     }
 
     /** Asks any control host for the whole of the newest configuration. */
-    private void askForRoutes() {
-        List<HostId> connected = connected();
+    private void requestRoutes() {
+        List<HostId> connected = connectedHosts();
         if (!connected.isEmpty()) {
             HostId host = connected.get(random.nextInt(connected.size()));
-            send(host, newFollow(host, routes.wantsConfirmation()).setWantsRoutes(true));
+            send(
+                    host,
+                    newSubscription(host, routesUpdater.wantsConfirmation()).setWantsRoutes(true));
         }
     }
 
-    private void follow(HostId host) {
-        follow(host, routes.wantsConfirmation());
+    private void subscribe(HostId host) {
+        subscribe(host, routesUpdater.wantsConfirmation());
     }
 
-    private void follow(HostId host, boolean wantsConfirmation) {
-        send(host, newFollow(host, wantsConfirmation));
+    private void subscribe(HostId host, boolean wantsConfirmation) {
+        send(host, newSubscription(host, wantsConfirmation));
     }
 
     private void send(HostId host, FleetFollow.Builder follow) {
         transport.send(host, Frame.newBuilder().setFleetFollow(follow).build());
     }
 
-    private FleetFollow.Builder newFollow(HostId host, boolean wantsConfirmation) {
+    private FleetFollow.Builder newSubscription(HostId host, boolean wantsConfirmation) {
         return FleetFollow.newBuilder()
                 .setHost(settings.peerName().value())
-                .setConnection(connections.getOrDefault(host, 0L))
-                .setRoutesVersion(routes.held())
+                .setConnection(connectionNumbers.getOrDefault(host, 0L))
+                .setRoutesVersion(routesUpdater.heldVersion())
                 .setWantsConfirmation(wantsConfirmation)
                 .setAskedAt(BootClock.nanos())
-                .setEvacuations(evacuated.revision())
+                .setEvacuations(evacuatedZones.revision())
                 .setPrimary(primary.filter(host::equals).isPresent());
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/CustomerGate.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/CustomerAccess.java
@@ -14,25 +14,25 @@
 import java.util.Optional;
 
 /** Who may send requests through one entry host. Used on one event loop. */
-final class CustomerGate {
+final class CustomerAccess {
 
-    private final KeyLease trust;
-    private final OutageAllowance outage;
-    private final AllowanceClient allowances;
-    private Customers customers = Customers.unrestricted();
+    private final KeyLease keyLease;
+    private final OutageAllowance outageAllowance;
+    private final AllowanceClient allowanceClient;
+    private Customers currentCustomers = Customers.unrestricted();
 
     /** Creates the gate of a host that knows no configuration yet. */
-    CustomerGate(KeyLease trust, OutageAllowance outage, AllowanceClient allowances) {
-        this.trust = trust;
-        this.outage = outage;
-        this.allowances = allowances;
+    CustomerAccess(KeyLease trust, OutageAllowance outage, AllowanceClient allowances) {
+        this.keyLease = trust;
+        this.outageAllowance = outage;
+        this.allowanceClient = allowances;
     }
 
     /** Puts the customers of a configuration into force. */
-    void customers(Customers next) {
-        customers = next;
+    void setCustomers(Customers next) {
+        currentCustomers = next;
         long now = BootClock.nanos();
-        next.all().forEach(customer -> outage.addCustomer(customer.id(), now));
+        next.all().forEach(customer -> outageAllowance.addCustomer(customer.id(), now));
     }
 
     /**
@@ -40,37 +40,37 @@
      *
      * @param askedAt when this host asked for it, on the process's clock in nanoseconds
      */
-    void confirmed(long askedAt) {
-        trust.renew(askedAt);
+    void recordConfirmation(long askedAt) {
+        keyLease.renew(askedAt);
     }
 
     /** Returns whether requests with keys can be taken, if any are needed. */
-    boolean ready() {
-        return !customers.keysRequired() || trust.isValid(BootClock.nanos());
+    boolean isReady() {
+        return !currentCustomers.keysRequired() || keyLease.isValid(BootClock.nanos());
     }
 
     /** Returns how long ago a quorum confirmed the configuration in force. */
-    Duration trustAge() {
-        return trust.age(BootClock.nanos());
+    Duration confirmationAge() {
+        return keyLease.age(BootClock.nanos());
     }
 
     /** Judges whose request one is, by the keys that it carries. */
-    KeyAccess.Verdict judge(List<KeyDigest> keys, Route route) {
+    KeyAccess.Verdict authenticate(List<KeyDigest> keys, Route route) {
         return KeyAccess.authenticate(
-                customers, route.open(), keys, trust.isValid(BootClock.nanos()));
+                currentCustomers, route.open(), keys, keyLease.isValid(BootClock.nanos()));
     }
 
     /** Returns whether requests carry customers' keys, which no upstream is to see. */
-    boolean keysNeeded() {
-        return customers.keysRequired();
+    boolean keysRequired() {
+        return currentCustomers.keysRequired();
     }
 
     /** Returns the limit of a customer as it is now. */
     Optional<CustomerLimit> limit(Customer customer) {
-        return customers.findById(customer.id()).flatMap(Customer::limit);
+        return currentCustomers.findById(customer.id()).flatMap(Customer::limit);
     }
 
-    AllowanceClient allowances() {
-        return allowances;
+    AllowanceClient allowanceClient() {
+        return allowanceClient;
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/DemandCounts.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/DemandCounts.java
@@ -19,20 +19,20 @@
         private int waiting;
     }
 
-    void arrived(Need need) {
+    void recordArrival(Need need) {
         if (need.model().isPresent()) {
             count(need).arrivals++;
         }
     }
 
-    void waits(Need need) {
+    void recordWaitStart(Need need) {
         if (need.model().isPresent()) {
             count(need).waiting++;
             newlyWaiting = true;
         }
     }
 
-    void waitsNoMore(Need need) {
+    void recordWaitEnd(Need need) {
         if (need.model().isPresent()) {
             Count count = count(need);
             count.waiting = Math.max(0, count.waiting - 1);
@@ -40,12 +40,12 @@
     }
 
     /** Returns whether a request waits that the last report did not tell of. */
-    boolean urgent() {
+    boolean hasNewlyWaiting() {
         return newlyWaiting;
     }
 
     /** Takes the counts since the last report; waiting requests are counted in each. */
-    DemandReport take(String host, String zone) {
+    DemandReport takeReport(String host, String zone) {
         newlyWaiting = false;
         DemandReport.Builder report = DemandReport.newBuilder().setHost(host).setZone(zone);
         counts.forEach(
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
@@ -83,8 +83,8 @@
     private final PeerTransport transport;
     private final ControlHosts hosts;
     private final Gateway gateway;
-    private final ControlFollower follower;
-    private final OwnReports reports;
+    private final ControlSubscriber follower;
+    private final EntryReporter reports;
     private final UpstreamClient upstreams;
     private Channel callers;
     private Channel readiness;
@@ -102,8 +102,9 @@
         LimitedUpstreams limited = new LimitedUpstreams(settings.peerName(), random);
         limited.setHostCount(ASSUMED_ENTRY_HOSTS);
         FleetMetrics figures = new FleetMetrics();
-        UpstreamLimits upstreamLimits =
-                new UpstreamLimits(settings.peerName(), loop, limited, new ControlLinks(), figures);
+        UpstreamLimitClient upstreamLimits =
+                new UpstreamLimitClient(
+                        settings.peerName(), loop, limited, new ControlLinks(), figures);
         this.gateway =
                 new Gateway(
                         loop,
@@ -117,28 +118,28 @@
                                 limits.retrySlack(),
                                 ASSUMED_ENTRY_HOSTS,
                                 limits.retryWindow()),
-                        new ControlNotices(settings.peerName(), this::tellControlHosts),
+                        new ControlNotifier(settings.peerName(), this::tellControlHosts),
                         customerGate(random),
                         this::tellControlHosts,
                         upstreamLimits,
                         figures,
                         random);
-        this.follower = new ControlFollower(settings, loop, transport, hosts, gateway, random);
-        this.reports = new OwnReports(settings, gateway, follower);
-        gateway.onNewlyWaiting(reports::tellDemand);
+        this.follower = new ControlSubscriber(settings, loop, transport, hosts, gateway, random);
+        this.reports = new EntryReporter(settings, gateway, follower);
+        gateway.onNewlyWaiting(reports::reportDemand);
     }
 
     @Override
     public void start() {
-        transport.open(follower::received);
+        transport.open(follower::receive);
         hosts.start();
         callers = listen(entry.callers(), new CallerChannels());
         readiness = AnswerServer.listen(threads, entry.readiness(), this::readinessAnswer);
         metrics =
                 settings.metrics().map(at -> AnswerServer.listen(threads, at, this::metricsAnswer));
         RepeatedTask.every(loop, FOLLOW_MILLIS, this::follow);
-        RepeatedTask.every(loop, DEMAND_MILLIS, reports::tellDemand);
-        RepeatedTask.every(loop, WORK_MILLIS, reports::tellWork);
+        RepeatedTask.every(loop, DEMAND_MILLIS, reports::reportDemand);
+        RepeatedTask.every(loop, WORK_MILLIS, reports::reportWork);
         settings.limits()
                 .keyRevocation()
                 .ifPresent(
@@ -146,7 +147,7 @@
                                 RepeatedTask.every(
                                         loop,
                                         time.toMillis() / CONFIRMATIONS_IN_REVOCATION,
-                                        follower::renewTrust));
+                                        follower::requestConfirmation));
         RepeatedTask.every(
                 loop, HostPauseDetector.TICK_INTERVAL.toMillis(), gateway.quarantine()::tick);
         logger.info(
@@ -195,10 +196,10 @@
         }
     }
 
-    private CustomerGate customerGate(Random random) {
+    private CustomerAccess customerGate(Random random) {
         FleetSettings.Limits limits = settings.limits();
         OutageAllowance outage = new OutageAllowance(limits.limitTolerance(), random);
-        return new CustomerGate(
+        return new CustomerAccess(
                 new KeyLease(limits.keyRevocation()),
                 outage,
                 new AllowanceClient(loop, new ControlLinks(), outage, this::entryHosts));
@@ -210,11 +211,11 @@
     }
 
     private void connected(HostId host) {
-        follower.connected(host);
+        follower.onConnected(host);
     }
 
     private void tellControlHosts(Frame frame) {
-        follower.tellAll(frame);
+        follower.sendToAll(frame);
     }
 
     private void follow() {
@@ -222,8 +223,8 @@
         upstreams.sweep();
         gateway.notices().sweep();
         gateway.quarantine().sweep();
-        follower.followAll();
-        follower.obeyRoutes();
+        follower.subscribeToAll();
+        follower.activateRoutes();
     }
 
     private Channel listen(Address address, ChannelHandler channels) {
@@ -250,7 +251,7 @@
     }
 
     /** The way to the control hosts for questions about allowances and limits. */
-    private final class ControlLinks implements ControlWay {
+    private final class ControlLinks implements ControlHostConnections {
         @Override
         public boolean send(HostId host, Frame frame) {
             return transport.send(host, frame);
@@ -287,8 +288,8 @@
     private AnswerServer.Answer readinessAnswer(String path) {
         boolean ready =
                 path.equals(Calls.READINESS)
-                        && follower.ready()
-                        && gateway.customers().ready()
+                        && follower.isReady()
+                        && gateway.customers().isReady()
                         && !gateway.draining();
         return new AnswerServer.Answer(ready ? READY : NOT_READY, new byte[0]);
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/OwnReports.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryReporter.java
@@ -12,42 +12,45 @@
 import java.util.Map;
 
 /** What an entry host tells the control hosts of its own requests. What is nothing is told once. */
-final class OwnReports {
+final class EntryReporter {
 
     private final FleetSettings settings;
     private final Gateway gateway;
-    private final ControlFollower follower;
-    private long workToldAt = BootClock.nanos();
-    private final NothingOnce works = new NothingOnce();
-    private final NothingOnce demands = new NothingOnce();
+    private final ControlSubscriber controlSubscriber;
+    private long lastWorkReportAt = BootClock.nanos();
+    private final NothingOnce workReports = new NothingOnce();
+    private final NothingOnce demandReports = new NothingOnce();
 
-    OwnReports(FleetSettings settings, Gateway gateway, ControlFollower follower) {
+    EntryReporter(FleetSettings settings, Gateway gateway, ControlSubscriber follower) {
         this.settings = settings;
         this.gateway = gateway;
-        this.follower = follower;
+        this.controlSubscriber = follower;
     }
 
     /** Tells of the requests at each instance, if that is due. */
-    void tellWork() {
+    void reportWork() {
         long now = BootClock.nanos();
-        if (now - workToldAt < new ReportTiming(follower.sharing()).interval().toNanos()) {
+        if (now - lastWorkReportAt
+                < new ReportTiming(controlSubscriber.entryHostsPerControlHost())
+                        .interval()
+                        .toNanos()) {
             return;
         }
-        workToldAt = now;
+        lastWorkReportAt = now;
         Map<UpstreamId, InstanceWork> work = gateway.dispatcher().takeWork();
-        if (works.isDue(!work.isEmpty())) {
-            follower.tellPrimary(
+        if (workReports.isDue(!work.isEmpty())) {
+            controlSubscriber.sendToPrimary(
                     WorkCodec.encodeOwn(
                             settings.peerName(), work, gateway.dispatcher().unreadTokens()));
         }
     }
 
     /** Tells of the models that are asked for. */
-    void tellDemand() {
+    void reportDemand() {
         DemandReport report =
-                gateway.demand().take(settings.peerName().value(), settings.zone().value());
-        if (demands.isDue(report.getCountsCount() > 0)) {
-            follower.tellPrimary(Frame.newBuilder().setDemand(report).build());
+                gateway.demand().takeReport(settings.peerName().value(), settings.zone().value());
+        if (demandReports.isDue(report.getCountsCount() > 0)) {
+            controlSubscriber.sendToPrimary(Frame.newBuilder().setDemand(report).build());
         }
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/EventAssembler.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/EventAssembler.java
@@ -19,7 +19,7 @@
     private static final int INITIAL_BYTES = 512;
 
     private ByteBuf pending = Unpooled.buffer(INITIAL_BYTES);
-    private int scanned;
+    private int scannedIndex;
 
     /** One whole event, or what was left at the end of a stream. */
     record Event(ByteBuf bytes, OptionalLong id) {}
@@ -30,31 +30,31 @@
 
     /** Takes out the next whole event, or null where none is whole yet. */
     Event next() {
-        int end = endOfEvent();
+        int end = findEventEnd();
         if (end < 0) {
             return null;
         }
         ByteBuf bytes = pending.readBytes(end - pending.readerIndex());
         pending.discardReadBytes();
-        scanned = 0;
-        return new Event(bytes, idOf(bytes));
+        scannedIndex = 0;
+        return new Event(bytes, parseId(bytes));
     }
 
     /** Takes out everything that is left. */
-    ByteBuf rest() {
-        scanned = 0;
+    ByteBuf remaining() {
+        scannedIndex = 0;
         return pending.readBytes(pending.readableBytes());
     }
 
     /** Forgets an event that has broken off. */
     void clear() {
         pending.clear();
-        scanned = 0;
+        scannedIndex = 0;
     }
 
     /** An event ends with an empty line; lines end with a line feed, with or without a return. */
-    private int endOfEvent() {
-        int from = Math.max(pending.readerIndex(), scanned);
+    private int findEventEnd() {
+        int from = Math.max(pending.readerIndex(), scannedIndex);
         int feed = pending.indexOf(from, pending.writerIndex(), LINE_FEED);
         while (feed >= 0) {
             int next = feed + 1;
@@ -62,7 +62,7 @@
                 next++;
             }
             if (next >= pending.writerIndex()) {
-                scanned = feed;
+                scannedIndex = feed;
                 return -1;
             }
             if (pending.getByte(next) == LINE_FEED) {
@@ -70,21 +70,21 @@
             }
             feed = pending.indexOf(next, pending.writerIndex(), LINE_FEED);
         }
-        scanned = pending.writerIndex();
+        scannedIndex = pending.writerIndex();
         return -1;
     }
 
-    private static OptionalLong idOf(ByteBuf event) {
+    private static OptionalLong parseId(ByteBuf event) {
         String text = event.toString(StandardCharsets.UTF_8);
         for (String line : text.split("\r?\n", -1)) {
             if (line.startsWith(ID_FIELD)) {
-                return number(line.substring(ID_FIELD.length()).strip());
+                return parseNumber(line.substring(ID_FIELD.length()).strip());
             }
         }
         return OptionalLong.empty();
     }
 
-    private static OptionalLong number(String text) {
+    private static OptionalLong parseNumber(String text) {
         try {
             return OptionalLong.of(Long.parseLong(text));
         } catch (NumberFormatException e) {
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/FinalAnswer.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/FinalAnswer.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.stackhall.core.dispatch.Need;
-import io.stackhall.server.gateway.RequestRights.Right;
+import io.stackhall.server.gateway.RequestAuthorization.Decision;
 import java.time.Duration;
 
 /**
@@ -55,7 +55,7 @@
 
     /** Ends a request that waited in vain. */
     void giveUp(String reason, Duration retryAfter) {
-        if (stream.begun()) {
+        if (stream.hasBegun()) {
             breakOff(reason);
         } else if (history.mayHaveRun()) {
             finish(HttpResponseStatus.BAD_GATEWAY, "the outcome is unknown: " + reason);
@@ -65,8 +65,8 @@
     }
 
     /** Ends a request that its caller may not have run, or not now. */
-    void deny(Right.Refused refused) {
-        if (stream.begun() || history.mayHaveRun()) {
+    void deny(Decision.Refused refused) {
+        if (stream.hasBegun() || history.mayHaveRun()) {
             giveUp(refused.reason(), SOON);
         } else if (refused.retryAfter().isPresent()) {
             refuse(refused.status(), refused.reason(), refused.retryAfter().get());
@@ -77,7 +77,7 @@
 
     /** Ends a request whose caller waits no longer. */
     void outOfTime() {
-        if (stream.begun()) {
+        if (stream.hasBegun()) {
             breakOff("its time has passed");
         } else if (history.sends() == 0) {
             refuse("its time has passed", SOON);
@@ -88,7 +88,7 @@
 
     /** Ends a request that its instance broke off. */
     void endBroken() {
-        if (stream.begun()) {
+        if (stream.hasBegun()) {
             breakOff(BROKE_OFF);
         } else {
             finish(HttpResponseStatus.BAD_GATEWAY, BROKE_OFF);
@@ -104,19 +104,19 @@
         long version = gateway.knowsRoutes() ? gateway.routes().version() : -1;
         log.refused(need, reason, retryAfter, history.sends(), version);
         close.run();
-        answers.answer(Answers.refusal(status, reason, request.id(), retryAfter));
+        answers.writeAnswer(Answers.refusal(status, reason, request.id(), retryAfter));
     }
 
     /** Says that the request has failed, and promises nothing. */
     void finish(HttpResponseStatus status, String reason) {
         log.failed(status.code(), reason, history.sends());
         close.run();
-        answers.answer(Answers.failure(status, reason, request.id()));
+        answers.writeAnswer(Answers.failure(status, reason, request.id()));
     }
 
     /** Ends an answer that has begun, so that its caller sees that it is not whole. */
     private void breakOff(String reason) {
-        log.brokenOff(reason, stream.lastEvent(), history.sends());
+        log.brokenOff(reason, stream.lastEventId(), history.sends());
         close.run();
         answers.abort();
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/Gateway.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/Gateway.java
@@ -50,15 +50,15 @@
     private final WaitingRequests waiting;
     private final DemandCounts demand = new DemandCounts();
     private final Set<CallerConnection> connections = new HashSet<>();
-    private final ControlNotices notices;
+    private final ControlNotifier notices;
     private final Quarantine quarantine;
-    private final CustomerGate customers;
+    private final CustomerAccess customers;
     private final FleetMetrics metrics;
-    private final UpstreamLimits limits;
-    private final UpstreamWords words;
+    private final UpstreamLimitClient limits;
+    private final UpstreamAnnouncements words;
     private final LineBudget lines = new LineBudget();
     private RouteTable routes;
-    private final FirstRoutes firstRoutes = new FirstRoutes();
+    private final RequestsAwaitingRoutes firstRoutes = new RequestsAwaitingRoutes();
     private boolean draining;
     private boolean closing;
     private int entryHosts;
@@ -70,10 +70,10 @@
             Dispatcher dispatcher,
             UpstreamClient upstreams,
             RetryLimiter retries,
-            ControlNotices notices,
-            CustomerGate customers,
+            ControlNotifier notices,
+            CustomerAccess customers,
             Consumer<Frame> toControlHosts,
-            UpstreamLimits limits,
+            UpstreamLimitClient limits,
             FleetMetrics metrics,
             RandomGenerator random) {
         this.loop = loop;
@@ -83,8 +83,8 @@
         this.notices = notices;
         this.customers = customers;
         this.limits = limits;
-        this.words = new UpstreamWords(limits, dispatcher, notices);
-        this.waiting = new WaitingRequests(limits::recount);
+        this.words = new UpstreamAnnouncements(limits, dispatcher, notices);
+        this.waiting = new WaitingRequests(limits::resetWaiting);
         this.metrics = metrics;
         this.quarantine = new Quarantine(loop, dispatcher, upstreams, metrics, toControlHosts);
         this.random = random;
@@ -108,8 +108,8 @@
         dispatcher.setEngines(engines);
         dispatcher.setObjectives(next.shortestLatencyObjectives());
         dispatcher.setColdRequestsPerSecond(next.coldRequestRates());
-        customers.customers(next.customers());
-        firstRoutes.release();
+        customers.setCustomers(next.customers());
+        firstRoutes.resumeAll();
         serveWaiting();
     }
 
@@ -159,8 +159,8 @@
 
     /** Tries to send what waits, the most urgent first. */
     void serveWaiting() {
-        waiting.tryAll();
-        limits.lookSoon();
+        waiting.retryAll();
+        limits.scheduleCheck();
     }
 
     /** While something waits, it is looked at again and again: time alone may decide about it. */
@@ -175,7 +175,7 @@
         lookScheduled = false;
         try {
             serveWaiting();
-            if (demand.urgent()) {
+            if (demand.hasNewlyWaiting()) {
                 newlyWaiting.run();
             }
         } finally {
@@ -191,8 +191,8 @@
     /** Refuses what has not been sent, and from now on whatever comes. */
     void refuseWaiting() {
         closing = true;
-        firstRoutes.release();
-        waiting.tryAll();
+        firstRoutes.resumeAll();
+        waiting.retryAll();
     }
 
     /** Closes the connections on which nothing is under way. */
@@ -286,14 +286,14 @@
 
     void arrived(Need need) {
         retries.recordRequest(need.service(), BootClock.nanos());
-        demand.arrived(need);
+        demand.recordArrival(need);
     }
 
     DemandCounts demand() {
         return demand;
     }
 
-    ControlNotices notices() {
+    ControlNotifier notices() {
         return notices;
     }
 
@@ -301,32 +301,32 @@
         return quarantine;
     }
 
-    CustomerGate customers() {
+    CustomerAccess customers() {
         return customers;
     }
 
-    UpstreamLimits upstreamLimits() {
+    UpstreamLimitClient upstreamLimits() {
         return limits;
     }
 
-    UpstreamWords upstreamWords() {
+    UpstreamAnnouncements upstreamWords() {
         return words;
     }
 
     void waits(RelayedRequest request) {
         waiting.add(request);
-        demand.waits(request.need());
-        limits.lookSoon();
+        demand.recordWaitStart(request.need());
+        limits.scheduleCheck();
         lookAgainLater();
     }
 
-    FirstRoutes firstRoutes() {
+    RequestsAwaitingRoutes firstRoutes() {
         return firstRoutes;
     }
 
     /** Returns how many requests for the same model are served before one. */
     int waitingBefore(RelayedRequest request) {
-        return waiting.before(request);
+        return waiting.countAhead(request);
     }
 
     /** An instance has read a prompt, so that it may take another. */
@@ -339,7 +339,7 @@
     /** A waiting request has been sent or answered. */
     void waitsNoMore(RelayedRequest request) {
         if (waiting.remove(request)) {
-            demand.waitsNoMore(request.need());
+            demand.recordWaitEnd(request.need());
         }
     }
 
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RelayedRequest.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RelayedRequest.java
@@ -14,7 +14,7 @@
 import io.stackhall.core.quarantine.Standing;
 import io.stackhall.core.route.Route;
 import io.stackhall.server.clock.BootClock;
-import io.stackhall.server.gateway.RequestRights.Right;
+import io.stackhall.server.gateway.RequestAuthorization.Decision;
 import io.stackhall.server.relay.CallFailure;
 import java.time.Duration;
 import java.util.Optional;
@@ -32,8 +32,8 @@
     private final AttemptHistory history = new AttemptHistory();
     private Route route;
     private Need need;
-    private RequestTimes times;
-    private RequestRights rights;
+    private RequestDeadlines times;
+    private RequestAuthorization rights;
     private long waitingSince;
     private long sentAt;
     private WaitReason waitsFor = WaitReason.NOTHING;
@@ -71,10 +71,10 @@
         route = found.get();
         log.route(route.name());
         history.allow(route);
-        times = RequestTimes.of(request, route);
-        timer.at(times.deadlineAt());
-        rights = new RequestRights(gateway.customers(), request, route, this::tryAgain);
-        if (rights.judge() instanceof Right.Refused refused) {
+        times = RequestDeadlines.of(request, route);
+        timer.scheduleAt(times.deadlineAt());
+        rights = new RequestAuthorization(gateway.customers(), request, route, this::tryAgain);
+        if (rights.evaluate() instanceof Decision.Refused refused) {
             last.deny(refused);
             return;
         }
@@ -92,12 +92,12 @@
     /** Waits for the first routes after this host's start, if they should come in time. */
     private void awaitRoutes() {
         long now = BootClock.nanos();
-        FirstRoutes first = gateway.firstRoutes();
-        if (gateway.closing() || !first.worthWaiting(request, now)) {
+        RequestsAwaitingRoutes first = gateway.firstRoutes();
+        if (gateway.closing() || !first.shouldWait(request, now)) {
             last.refuse("no configuration is known yet", first.retryAfter(now));
             return;
         }
-        timer.at(first.latest(request));
+        timer.scheduleAt(first.waitDeadline(request));
         first.add(this);
     }
 
@@ -108,7 +108,7 @@
 
     /** Returns whether an answer can only be late. */
     boolean late(long now) {
-        return times.late(now);
+        return times.isLate(now);
     }
 
     /** Returns until when an answer is of use, on the monotonic clock in nanoseconds. */
@@ -129,8 +129,8 @@
             last.giveUp("this host is about to stop", Duration.ZERO);
             return true;
         }
-        Right right = rights.judge();
-        if (right instanceof Right.Refused refused) {
+        Decision right = rights.evaluate();
+        if (right instanceof Decision.Refused refused) {
             last.deny(refused);
             return true;
         }
@@ -141,14 +141,20 @@
             return true;
         }
         Choice choice =
-                gateway.choose(standing, digest, need, history.allowed(), times.left(now), now);
+                gateway.choose(
+                        standing,
+                        digest,
+                        need,
+                        history.allowed(),
+                        times.remainingObjective(now),
+                        now);
         int ahead = waitsInTurn(choice) ? gateway.waitingBefore(this) : 0;
         if (choice instanceof Choice.HeldBack held) {
             log.heldBack(held, ahead);
         }
         switch (admission.decide(choice, ahead, now)) {
             case Verdict.Send(Instance instance, String why) -> {
-                if (right instanceof Right.Awaited || !rights.fresh()) {
+                if (right instanceof Decision.Pending || !rights.ensureFreshGrant()) {
                     waitsFor = WaitReason.ALLOWANCE;
                     return false;
                 }
@@ -161,7 +167,7 @@
                 last.giveUp(reason, gateway.dispatcher().retryAfter(choice, retryAfter, now));
             }
             case Verdict.WaitForAdapter(Instance instance) -> {
-                gateway.notices().wantAdapter(instance, need);
+                gateway.notices().notifyAdapterWanted(instance, need);
                 waitsFor = WaitReason.ADAPTER;
                 return false;
             }
@@ -179,7 +185,7 @@
 
     /** Ends a copy of a request that is refused by now, if it may not have begun to run yet. */
     void stopCondemned() {
-        if (!ended && !stream.begun() && attempt != null) {
+        if (!ended && !stream.hasBegun() && attempt != null) {
             last.finish(HttpResponseStatus.BAD_GATEWAY, "instances end under it; it may have run");
         }
     }
@@ -207,7 +213,7 @@
     }
 
     private Admission newAdmission() {
-        return times.admission(stream.begun() ? BootClock.nanos() : request.arrivedAt());
+        return times.admission(stream.hasBegun() ? BootClock.nanos() : request.arrivedAt());
     }
 
     private void send(Instance instance, String why) {
@@ -216,7 +222,7 @@
             last.giveUp("too many requests are sent a second time", FinalAnswer.SOON);
             return;
         }
-        rights.use();
+        rights.useGrant();
         attempt = new UpstreamAttempt(gateway, instance, need, route.kind(), this);
         double load = gateway.dispatcher().occupancy(instance.id(), now);
         log.sent(need, instance, history.sends() + 1, why, now - waitingSince, waitsFor, load);
@@ -224,14 +230,14 @@
         sentAt = now;
         gateway.quarantine().sent(digest, instance, this);
         attempt.begin(
-                RequestCopy.of(
+                UpstreamRequestFactory.create(
                         request,
                         need,
                         instance,
                         rights.customer(),
-                        gateway.customers().keysNeeded(),
+                        gateway.customers().keysRequired(),
                         leftMillis,
-                        stream.lastEvent()),
+                        stream.lastEventId()),
                 request.id());
     }
 
@@ -246,7 +252,7 @@
         timer.cancel();
         gateway.gone(this);
         if (rights != null) {
-            rights.close(history.mayHaveRun() || stream.begun() || attempt != null);
+            rights.close(history.mayHaveRun() || stream.hasBegun() || attempt != null);
         }
         if (attempt != null) {
             attempt.abandon();
@@ -262,34 +268,34 @@
     }
 
     @Override
-    public void sending() {
+    public void onSending() {
         history.sent(attempt.instance().id());
     }
 
     @Override
-    public void event(HttpResponse head, EventAssembler.Event event) {
+    public void onEvent(HttpResponse head, EventAssembler.Event event) {
         gateway.quarantine().begun(digest, attempt.instance().id());
-        stream.event(head, event);
+        stream.forwardEvent(head, event);
     }
 
     @Override
-    public void streamEnded(HttpResponse head, ByteBuf rest) {
-        log.answered(head.status().code(), stream.lastEvent(), history.sends());
+    public void onStreamEnd(HttpResponse head, ByteBuf rest) {
+        log.answered(head.status().code(), stream.lastEventId(), history.sends());
         endAttempt();
         gateway.quarantine().endedWell(digest);
-        stream.rest(head, rest);
+        stream.forwardBytes(head, rest);
         close();
         answers.end();
     }
 
     @Override
-    public void answered(HttpResponse head, ByteBuf body) {
+    public void onAnswer(HttpResponse head, ByteBuf body) {
         Instance instance = endAttempt();
         if (Answers.saysNotRun(head)) {
             notRun(instance, head);
             return;
         }
-        log.answered(head.status().code(), stream.lastEvent(), history.sends());
+        log.answered(head.status().code(), stream.lastEventId(), history.sends());
         gateway.quarantine().endedWell(digest);
         history.ran();
         boolean failed = head.status().codeClass() == HttpStatusClass.SERVER_ERROR;
@@ -298,7 +304,7 @@
         } else {
             gateway.dispatcher().requestSucceeded(instance.id());
         }
-        if (stream.begun()) {
+        if (stream.hasBegun()) {
             resume(instance);
         } else if (failed && mayGoOn()) {
             goOn(instance, "the instance failed");
@@ -307,20 +313,20 @@
                     HttpResponseStatus.BAD_GATEWAY, "the instance gave up, and may have run it");
         } else {
             close();
-            answers.answer(Answers.whole(head, body));
+            answers.writeAnswer(Answers.whole(head, body));
         }
     }
 
     @Override
-    public void brokeOff(CallFailure failure) {
+    public void onFailure(CallFailure failure) {
         Instance instance = endAttempt();
-        log.attemptFailed(instance, failure.sent(), failure.reason(), stream.lastEvent());
+        log.attemptFailed(instance, failure.sent(), failure.reason(), stream.lastEventId());
         if (failure.stage() == CallFailure.Stage.WITHDRAWN) {
             again("the instance wants nothing any more");
             return;
         }
         if (!failure.sent()) {
-            gateway.notices().unreachable(instance, failure.stage());
+            gateway.notices().notifyUnreachable(instance, failure.stage());
             goOn(instance, "the instance cannot be reached");
             return;
         }
@@ -333,7 +339,7 @@
     }
 
     private boolean mayGoOn() {
-        return history.mayGoOn(stream.begun(), stream.lastEvent().isPresent());
+        return history.mayGoOn(stream.hasBegun(), stream.lastEventId().isPresent());
     }
 
     private void goOn(Instance instance, String reason) {
@@ -351,7 +357,7 @@
             gateway.dispatcher().requestRejected(instance.id(), need, BootClock.nanos());
         }
         boolean comes = need.adapter().isPresent() && history.adapterMayCome();
-        if (stream.begun()) {
+        if (stream.hasBegun()) {
             resume(instance);
         } else if (rests) {
             again("the instance wants rest");
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestRights.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestAuthorization.java
@@ -16,24 +16,24 @@
  * Whether one request may be run: whose it is, and its part of that customer's allowance. Both are
  * judged again at each send, since a key may go and a grant may be too old by then.
  */
-final class RequestRights {
+final class RequestAuthorization {
 
     /**
      * A grant counts for the moment at which it was given; a request that waits longer asks anew,
      * so that what waits together is not run together beyond its customer's limit.
      */
-    private static final Duration GRANT_HOLDS = Duration.ofMillis(300);
+    private static final Duration GRANT_VALIDITY = Duration.ofMillis(300);
 
     /** Keys are confirmed every second. */
-    private static final Duration NEXT_CONFIRMATION = Duration.ofSeconds(1);
+    private static final Duration CONFIRMATION_INTERVAL = Duration.ofSeconds(1);
 
-    private final CustomerGate gate;
+    private final CustomerAccess customerAccess;
     private final CallerRequest request;
-    private final List<KeyDigest> keys;
+    private final List<KeyDigest> keyDigests;
     private final Route route;
-    private final Runnable decided;
+    private final Runnable onDecision;
     private Optional<Customer> customer = Optional.empty();
-    private Grant grant = new Grant.None();
+    private Grant grant = new Grant.NotRequested();
     private double cost;
     private boolean closed;
 
@@ -41,29 +41,29 @@
     private sealed interface Grant {
 
         /** It was not asked for. */
-        record None() implements Grant {}
+        record NotRequested() implements Grant {}
 
         /** It was asked for. */
-        record Asked() implements Grant {}
+        record Requested() implements Grant {}
 
         /** It was given at a moment of the process's clock. */
-        record Given(long at) implements Grant {}
+        record Granted(long grantedAt) implements Grant {}
 
         /** It was refused. */
-        record Refused(Duration retryAfter) implements Grant {}
+        record Denied(Duration retryAfter) implements Grant {}
 
         /** The request has been sent with it. */
         record Used() implements Grant {}
     }
 
     /** Whether the request may be run now. */
-    sealed interface Right {
+    sealed interface Decision {
 
         /** It may. */
-        record Good() implements Right {}
+        record Allowed() implements Decision {}
 
         /** Its customer's allowance has been asked. */
-        record Awaited() implements Right {}
+        record Pending() implements Decision {}
 
         /**
          * It may not.
@@ -71,7 +71,7 @@
          * @param retryAfter when it may be worth another try, if it ever is
          */
         record Refused(HttpResponseStatus status, String reason, Optional<Duration> retryAfter)
-                implements Right {}
+                implements Decision {}
     }
 
     /**
@@ -79,12 +79,13 @@
      *
      * @param decided run when an answer has come for which the request had to wait
      */
-    RequestRights(CustomerGate gate, CallerRequest request, Route route, Runnable decided) {
-        this.gate = gate;
+    RequestAuthorization(
+            CustomerAccess gate, CallerRequest request, Route route, Runnable decided) {
+        this.customerAccess = gate;
         this.request = request;
-        this.keys = request.keys();
+        this.keyDigests = request.keyDigests();
         this.route = route;
-        this.decided = decided;
+        this.onDecision = decided;
     }
 
     /** Returns whose the request is, as it was judged last. */
@@ -98,38 +99,38 @@
     }
 
     /** Judges by the configuration in force, and asks for the allowance where that is needed. */
-    Right judge() {
-        return switch (gate.judge(keys, route)) {
-            case KeyAccess.Verdict.Anyone() -> new Right.Good();
-            case KeyAccess.Verdict.Of(Customer holder) -> allowed(holder);
+    Decision evaluate() {
+        return switch (customerAccess.authenticate(keyDigests, route)) {
+            case KeyAccess.Verdict.Anyone() -> new Decision.Allowed();
+            case KeyAccess.Verdict.Of(Customer holder) -> evaluateCustomer(holder);
             case KeyAccess.Verdict.Unknown(String reason) ->
-                    new Right.Refused(HttpResponseStatus.UNAUTHORIZED, reason, Optional.empty());
+                    new Decision.Refused(HttpResponseStatus.UNAUTHORIZED, reason, Optional.empty());
             case KeyAccess.Verdict.Uncertain() ->
-                    new Right.Refused(
+                    new Decision.Refused(
                             HttpResponseStatus.SERVICE_UNAVAILABLE,
                             "this host cannot tell whether keys still hold",
-                            Optional.of(NEXT_CONFIRMATION));
+                            Optional.of(CONFIRMATION_INTERVAL));
         };
     }
 
-    private Right allowed(Customer holder) {
+    private Decision evaluateCustomer(Customer holder) {
         customer = Optional.of(holder);
-        Optional<CustomerLimit> limit = gate.limit(holder);
+        Optional<CustomerLimit> limit = customerAccess.limit(holder);
         if (limit.isEmpty()) {
-            return new Right.Good();
+            return new Decision.Allowed();
         }
         return switch (grant) {
-            case Grant.Used() -> new Right.Good();
-            case Grant.Asked() -> new Right.Awaited();
-            case Grant.Refused(Duration retryAfter) ->
-                    new Right.Refused(
+            case Grant.Used() -> new Decision.Allowed();
+            case Grant.Requested() -> new Decision.Pending();
+            case Grant.Denied(Duration retryAfter) ->
+                    new Decision.Refused(
                             HttpResponseStatus.TOO_MANY_REQUESTS,
                             "customer " + holder.id() + " is at its limit",
                             Optional.of(retryAfter));
-            case Grant.Given ignored -> new Right.Good();
-            case Grant.None() -> {
-                ask(holder, limit.get(), 0);
-                yield new Right.Awaited();
+            case Grant.Granted ignored -> new Decision.Allowed();
+            case Grant.NotRequested() -> {
+                requestGrant(holder, limit.get(), 0);
+                yield new Decision.Pending();
             }
         };
     }
@@ -138,47 +139,48 @@
      * Returns whether a request that was judged to be good may be sent this very moment; if its
      * grant is too old, another is asked for.
      */
-    boolean fresh() {
+    boolean ensureFreshGrant() {
         boolean old =
-                grant instanceof Grant.Given(long at)
-                        && BootClock.nanos() - at >= GRANT_HOLDS.toNanos();
-        Optional<CustomerLimit> limit = customer.flatMap(gate::limit);
+                grant instanceof Grant.Granted(long at)
+                        && BootClock.nanos() - at >= GRANT_VALIDITY.toNanos();
+        Optional<CustomerLimit> limit = customer.flatMap(customerAccess::limit);
         if (!old || limit.isEmpty()) {
             return true;
         }
-        ask(customer.get(), limit.get(), cost);
+        requestGrant(customer.get(), limit.get(), cost);
         return false;
     }
 
-    private void ask(Customer holder, CustomerLimit limit, double returned) {
-        cost = limit.cost(request.tokens());
-        grant = new Grant.Asked();
-        gate.allowances().ask(holder, cost, returned, this::answered);
+    private void requestGrant(Customer holder, CustomerLimit limit, double returned) {
+        cost = limit.cost(request.tokenCount());
+        grant = new Grant.Requested();
+        customerAccess.allowanceClient().claim(holder, cost, returned, this::applyVerdict);
     }
 
-    private void answered(AllowanceVerdict verdict) {
+    private void applyVerdict(AllowanceVerdict verdict) {
         if (closed) {
-            giveBackLate(verdict);
+            returnLateGrant(verdict);
             return;
         }
         grant =
                 switch (verdict) {
-                    case AllowanceVerdict.Granted() -> new Grant.Given(BootClock.nanos());
-                    case AllowanceVerdict.Denied(Duration after) -> new Grant.Refused(after);
+                    case AllowanceVerdict.Granted() -> new Grant.Granted(BootClock.nanos());
+                    case AllowanceVerdict.Denied(Duration after) -> new Grant.Denied(after);
                 };
-        decided.run();
+        onDecision.run();
     }
 
     /** The request has ended before its grant came. */
-    private void giveBackLate(AllowanceVerdict verdict) {
+    private void returnLateGrant(AllowanceVerdict verdict) {
         if (verdict instanceof AllowanceVerdict.Granted) {
-            customer.ifPresent(holder -> gate.allowances().giveBack(holder, cost));
+            customer.ifPresent(
+                    holder -> customerAccess.allowanceClient().returnUnused(holder, cost));
         }
     }
 
     /** The request is sent to an upstream. */
-    void use() {
-        if (grant instanceof Grant.Given) {
+    void useGrant() {
+        if (grant instanceof Grant.Granted) {
             grant = new Grant.Used();
         }
     }
@@ -189,11 +191,12 @@
      * @param run whether an upstream may have run it
      */
     void close(boolean run) {
-        boolean held = grant instanceof Grant.Given || grant instanceof Grant.Used;
+        boolean held = grant instanceof Grant.Granted || grant instanceof Grant.Used;
         if (held && !run) {
-            customer.ifPresent(holder -> gate.allowances().giveBack(holder, cost));
+            customer.ifPresent(
+                    holder -> customerAccess.allowanceClient().returnUnused(holder, cost));
         }
-        grant = new Grant.None();
+        grant = new Grant.NotRequested();
         closed = true;
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestTimes.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestDeadlines.java
@@ -15,30 +15,30 @@
  * @param deadlineAt until when an answer is of use
  * @param route what the operator allows it
  */
-record RequestTimes(long arrivedAt, long deadlineAt, Route route) {
+record RequestDeadlines(long arrivedAt, long deadlineAt, Route route) {
 
     /** A streamed answer that begins this close to the end of its caller's time comes too late. */
-    private static final Duration LEAST_STREAM_TIME = Duration.ofMillis(350);
+    private static final Duration MIN_STREAM_TIME = Duration.ofMillis(350);
 
     /** A plain answer takes some ten milliseconds. */
-    private static final Duration LEAST_PLAIN_TIME = Duration.ofMillis(40);
+    private static final Duration MIN_PLAIN_TIME = Duration.ofMillis(40);
 
     /** An idle engine brings the first event within 35 to 50 ms of an objective of 400 (median). */
-    private static final int LEAST_ANSWER_SHARE = 8;
+    private static final int MIN_ANSWER_TIME_DIVISOR = 8;
 
     /** Returns the times of a request on a route: it ends with its caller's or the route's time. */
-    static RequestTimes of(CallerRequest request, Route route) {
+    static RequestDeadlines of(CallerRequest request, Route route) {
         long allowed = route.timeout().toNanos();
         OptionalLong told = request.deadlineMillis();
         if (told.isPresent()) {
             allowed = Math.min(allowed, TimeUnit.MILLISECONDS.toNanos(told.getAsLong()));
         }
-        return new RequestTimes(request.arrivedAt(), request.arrivedAt() + allowed, route);
+        return new RequestDeadlines(request.arrivedAt(), request.arrivedAt() + allowed, route);
     }
 
     /** Returns what is left of the objective; nothing where an answer can only be late. */
-    Duration left(long now) {
-        return late(now)
+    Duration remainingObjective(long now) {
+        return isLate(now)
                 ? Duration.ZERO
                 : Duration.ofNanos(arrivedAt + route.latencyObjective().toNanos() - now);
     }
@@ -47,13 +47,13 @@
      * Returns whether an answer can only be late: what is left of the objective is less than an
      * engine that has nothing else to do needs for its first event.
      */
-    boolean late(long now) {
-        return now - inTimeUntil() > 0;
+    boolean isLate(long now) {
+        return now - latestOnTimeStart() > 0;
     }
 
-    private long inTimeUntil() {
+    private long latestOnTimeStart() {
         long objective = route.latencyObjective().toNanos();
-        return arrivedAt + objective - objective / LEAST_ANSWER_SHARE;
+        return arrivedAt + objective - objective / MIN_ANSWER_TIME_DIVISOR;
     }
 
     /**
@@ -66,7 +66,7 @@
         boolean stream = route.kind() == RouteKind.STREAM;
         long leaves = lastEventAt + route.callerTimeout().toNanos();
         long end = stream && leaves - deadlineAt < 0 ? leaves : deadlineAt;
-        long latest = end - (stream ? LEAST_STREAM_TIME : LEAST_PLAIN_TIME).toNanos();
-        return new Admission(latest, inTimeUntil());
+        long latest = end - (stream ? MIN_STREAM_TIME : MIN_PLAIN_TIME).toNanos();
+        return new Admission(latest, latestOnTimeStart());
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestTimer.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestTimer.java
@@ -18,7 +18,7 @@
     }
 
     /** Runs the task at a moment of the monotonic clock in nanoseconds. */
-    void at(long moment) {
+    void scheduleAt(long moment) {
         long left = Math.max(0, moment - BootClock.nanos());
         scheduled = loop.schedule(task, left, TimeUnit.NANOSECONDS);
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RoutesFollower.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RoutesUpdater.java
@@ -19,93 +19,98 @@
  * Keeps the newest configuration that control hosts have told an entry host, and puts it into force
  * once it may be obeyed. Used on one event loop.
  */
-final class RoutesFollower {
+final class RoutesUpdater {
 
-    private static final Logger logger = LogManager.getLogger(RoutesFollower.class);
+    private static final Logger logger = LogManager.getLogger(RoutesUpdater.class);
 
     /**
      * After this long without a quorum's word, routes that any control host holds are better than
      * none: a zone that is cut off goes on serving.
      */
-    private static final Duration PATIENCE = Duration.ofSeconds(4);
+    private static final Duration UNCONFIRMED_WAIT = Duration.ofSeconds(4);
 
     /** The primary tells within some milliseconds; routes have to be in force within seconds. */
-    private static final long OVERDUE_MILLIS = 250;
+    private static final long ROUTES_TIMEOUT_MILLIS = 250;
 
     private final EventLoop loop;
     private final Gateway gateway;
-    private final Runnable askForRoutes;
-    private final RoutesConfirmation trust = new RoutesConfirmation(PATIENCE);
-    private byte[] body = new byte[0];
-    private boolean awaiting;
-    private boolean obeying;
+    private final Runnable requestRoutes;
+    private final RoutesConfirmation confirmation = new RoutesConfirmation(UNCONFIRMED_WAIT);
+    private byte[] heldBody = new byte[0];
+    private boolean awaitingRoutes;
+    private boolean activationScheduled;
 
     /**
      * Creates one that holds no configuration.
      *
      * @param askForRoutes asks some control host for the whole of the newest configuration
      */
-    RoutesFollower(EventLoop loop, Gateway gateway, Runnable askForRoutes) {
+    RoutesUpdater(EventLoop loop, Gateway gateway, Runnable askForRoutes) {
         this.loop = loop;
         this.gateway = gateway;
-        this.askForRoutes = askForRoutes;
+        this.requestRoutes = askForRoutes;
     }
 
     /** Returns the version that this host holds, negative where there is none. */
-    long held() {
-        return trust.held();
+    long heldVersion() {
+        return confirmation.held();
     }
 
     /** Returns whether a quorum has yet to name the newest configuration. */
     boolean wantsConfirmation() {
-        return !trust.isConfirmed();
+        return !confirmation.isConfirmed();
     }
 
     /** Takes in what a control host tells. */
-    void told(RoutesUpdate update) {
+    void receive(RoutesUpdate update) {
         long now = BootClock.nanos();
-        trust.reported(update.getVersion(), now);
-        if (update.getVersion() > trust.held()) {
-            take(update, now);
+        confirmation.reported(update.getVersion(), now);
+        if (update.getVersion() > confirmation.held()) {
+            store(update, now);
         }
         if (update.getConfirmed()) {
-            confirmed(update, now);
+            recordConfirmation(update, now);
         } else {
-            obeySoon();
+            scheduleActivation();
         }
-        if (trust.lacksNewest()) {
-            expectRoutes();
+        if (confirmation.lacksNewest()) {
+            awaitRoutes();
         }
     }
 
     /** Puts the configuration that is held into force if it may be obeyed by now. */
-    void obey() {
-        obeying = false;
-        if (!trust.mayActivate(inForce(), BootClock.nanos())) {
+    void activateIfAllowed() {
+        activationScheduled = false;
+        if (!confirmation.mayActivate(activeVersion(), BootClock.nanos())) {
             return;
         }
         logger.info(
                 "routes.obeyed version={} heard={} confirmed={}",
-                trust.held(),
-                trust.reported(),
-                trust.confirmed());
-        Either<Finding, RouteTable> decoded = ConfigurationDecoder.decode(body);
+                confirmation.held(),
+                confirmation.reported(),
+                confirmation.confirmed());
+        Either<Finding, RouteTable> decoded = ConfigurationDecoder.decode(heldBody);
         decoded.peek(gateway::routes)
                 .peekLeft(
                         finding ->
                                 logger.error(
-                                        "routes.unreadable version={} {}", trust.held(), finding));
+                                        "routes.unreadable version={} {}",
+                                        confirmation.held(),
+                                        finding));
     }
 
-    private void confirmed(RoutesUpdate update, long now) {
-        boolean first = !trust.isConfirmed();
-        trust.confirmed(update.getVersion(), now);
+    private void recordConfirmation(RoutesUpdate update, long now) {
+        boolean first = !confirmation.isConfirmed();
+        confirmation.confirmed(update.getVersion(), now);
         if (first) {
-            logger.info("routes.confirmed version={} held={}", update.getVersion(), trust.held());
+            logger.info(
+                    "routes.confirmed version={} held={}",
+                    update.getVersion(),
+                    confirmation.held());
         }
-        obey();
-        if (inForce() >= update.getVersion()) {
-            gateway.customers().confirmed(update.getAskedAt());
+        activateIfAllowed();
+        if (activeVersion() >= update.getVersion()) {
+            gateway.customers().recordConfirmation(update.getAskedAt());
         }
     }
 
@@ -113,34 +118,35 @@
      * Looks once what has arrived by now is taken in: of several configurations in a row only the
      * last is worth decoding, which takes a slow host longer than the next one takes to come.
      */
-    private void obeySoon() {
-        if (!obeying) {
-            obeying = true;
-            loop.execute(this::obey);
+    private void scheduleActivation() {
+        if (!activationScheduled) {
+            activationScheduled = true;
+            loop.execute(this::activateIfAllowed);
         }
     }
 
-    private long inForce() {
+    private long activeVersion() {
         return gateway.knowsRoutes() ? gateway.routes().version() : -1;
     }
 
-    private void take(RoutesUpdate update, long now) {
+    private void store(RoutesUpdate update, long now) {
         if (update.getBody().isEmpty() && update.getPackedBody().isEmpty()) {
             return;
         }
         try {
-            body = RoutesCodec.body(update);
-            trust.received(update.getVersion(), now);
+            heldBody = RoutesCodec.body(update);
+            confirmation.received(update.getVersion(), now);
         } catch (IOException e) {
             logger.error("routes.unreadable version={} {}", update.getVersion(), e.toString());
         }
     }
 
-    private void expectRoutes() {
-        if (!awaiting) {
-            awaiting = true;
-            long awaited = trust.reported();
-            loop.schedule(() -> overdue(awaited), OVERDUE_MILLIS, TimeUnit.MILLISECONDS);
+    private void awaitRoutes() {
+        if (!awaitingRoutes) {
+            awaitingRoutes = true;
+            long awaited = confirmation.reported();
+            loop.schedule(
+                    () -> handleOverdue(awaited), ROUTES_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -149,14 +155,14 @@
      * was heard of since then has its own time: where changes follow each other closely, something
      * is always on its way.
      */
-    private void overdue(long awaited) {
-        awaiting = false;
-        if (trust.held() < awaited) {
-            logger.info("routes.overdue version={} held={}", awaited, trust.held());
-            askForRoutes.run();
+    private void handleOverdue(long awaited) {
+        awaitingRoutes = false;
+        if (confirmation.held() < awaited) {
+            logger.info("routes.overdue version={} held={}", awaited, confirmation.held());
+            requestRoutes.run();
         }
-        if (trust.lacksNewest()) {
-            expectRoutes();
+        if (confirmation.lacksNewest()) {
+            awaitRoutes();
         }
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/StreamedAnswer.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/StreamedAnswer.java
@@ -7,49 +7,49 @@
 /** An event stream on its way to a caller, perhaps from one instance after another. */
 final class StreamedAnswer {
 
-    private final AnswerWriter answers;
+    private final AnswerWriter writer;
     private final RequestLog log;
-    private boolean begun;
-    private OptionalLong lastEvent = OptionalLong.empty();
+    private boolean started;
+    private OptionalLong lastEventId = OptionalLong.empty();
 
     StreamedAnswer(AnswerWriter answers, RequestLog log) {
-        this.answers = answers;
+        this.writer = answers;
         this.log = log;
     }
 
     /** Returns whether the caller has got any of it. */
-    boolean begun() {
-        return begun;
+    boolean hasBegun() {
+        return started;
     }
 
     /** Returns the last event that the caller has got. */
-    OptionalLong lastEvent() {
-        return lastEvent;
+    OptionalLong lastEventId() {
+        return lastEventId;
     }
 
     /** Passes an event on, unless the caller has got it already from an earlier instance. */
-    void event(HttpResponse head, EventAssembler.Event event) {
+    void forwardEvent(HttpResponse head, EventAssembler.Event event) {
         boolean old =
                 event.id().isPresent()
-                        && lastEvent.isPresent()
-                        && event.id().getAsLong() <= lastEvent.getAsLong();
+                        && lastEventId.isPresent()
+                        && event.id().getAsLong() <= lastEventId.getAsLong();
         if (old) {
             event.bytes().release();
             return;
         }
         if (event.id().isPresent()) {
-            lastEvent = event.id();
+            lastEventId = event.id();
         }
-        rest(head, event.bytes());
+        forwardBytes(head, event.bytes());
     }
 
     /** Passes on what is no event; the head of the first instance stands for all. */
-    void rest(HttpResponse head, ByteBuf bytes) {
-        if (!begun) {
-            begun = true;
+    void forwardBytes(HttpResponse head, ByteBuf bytes) {
+        if (!started) {
+            started = true;
             log.begun();
-            answers.begin(Answers.head(head));
+            writer.writeHead(Answers.head(head));
         }
-        answers.part(bytes);
+        writer.writePart(bytes);
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamWords.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamAnnouncements.java
@@ -21,26 +21,27 @@
  * Takes in what upstreams say of themselves in the heads of their answers to one entry host. Used
  * on one event loop.
  */
-final class UpstreamWords {
+final class UpstreamAnnouncements {
 
-    private static final Logger logger = LogManager.getLogger(UpstreamWords.class);
+    private static final Logger logger = LogManager.getLogger(UpstreamAnnouncements.class);
 
-    private final UpstreamLimits limits;
+    private final UpstreamLimitClient limits;
     private final Dispatcher dispatcher;
-    private final ControlNotices notices;
+    private final ControlNotifier notices;
     private final Set<UpstreamId> leaving = new HashSet<>();
     private final Set<UpstreamId> unreadable = new HashSet<>();
-    private Consumer<UpstreamId> onLeaving = id -> {};
+    private Consumer<UpstreamId> leavingListener = id -> {};
 
-    UpstreamWords(UpstreamLimits limits, Dispatcher dispatcher, ControlNotices notices) {
+    UpstreamAnnouncements(
+            UpstreamLimitClient limits, Dispatcher dispatcher, ControlNotifier notices) {
         this.limits = limits;
         this.dispatcher = dispatcher;
         this.notices = notices;
     }
 
     /** Has somebody told, at once, when an instance says that it leaves. */
-    void onLeaving(Consumer<UpstreamId> listener) {
-        onLeaving = listener;
+    void setLeavingListener(Consumer<UpstreamId> listener) {
+        leavingListener = listener;
     }
 
     /**
@@ -48,21 +49,21 @@
      *
      * @param basis what was known of the upstream's limit when the request was sent
      */
-    void heard(UpstreamId id, HttpResponse head, LimitRevision basis) {
-        limits.answered(id, head, basis);
+    void receive(UpstreamId id, HttpResponse head, LimitRevision basis) {
+        limits.readLimit(id, head, basis);
         AnswerHeaders.rest(head.status().code(), head.headers()::get, Instant.now())
-                .peek(rest -> rest.ifPresent(time -> rests(id, time)))
-                .peekLeft(finding -> unreadable(id, finding));
+                .peek(rest -> rest.ifPresent(time -> recordRest(id, time)))
+                .peekLeft(finding -> logUnreadable(id, finding));
         if (AnswerHeaders.leaving(head.headers()::get) && leaving.add(id)) {
             logger.info("upstream.leaving-heard id={}", id);
-            onLeaving.accept(id);
-            notices.leaving(id);
+            leavingListener.accept(id);
+            notices.notifyLeaving(id);
         }
     }
 
     /** Returns who leaves, for a control host that may know it from nobody else. */
-    List<Frame> whole() {
-        return leaving.stream().map(notices::leavingOf).toList();
+    List<Frame> leavingFrames() {
+        return leaving.stream().map(notices::leavingFrame).toList();
     }
 
     /** Forgets an instance that is gone. */
@@ -72,12 +73,12 @@
         unreadable.remove(id);
     }
 
-    private void rests(UpstreamId id, Duration time) {
+    private void recordRest(UpstreamId id, Duration time) {
         logger.info("upstream.rest-heard id={} restMs={}", id, time.toMillis());
         dispatcher.recordRest(id, time, BootClock.nanos());
     }
 
-    private void unreadable(UpstreamId id, Finding finding) {
+    private void logUnreadable(UpstreamId id, Finding finding) {
         if (unreadable.add(id)) {
             logger.warn("upstream.rest-unreadable id={} {}", id, finding);
         }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamAttempt.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamAttempt.java
@@ -49,7 +49,7 @@
         this.stream = kind == RouteKind.STREAM;
         this.listener = listener;
         this.sending = gateway.dispatcher().requestSent(instance.id(), need, BootClock.nanos());
-        this.limitKnown = gateway.upstreamLimits().sent(instance.id());
+        this.limitKnown = gateway.upstreamLimits().recordSent(instance.id());
     }
 
     void begin(FullHttpRequest request, String requestId) {
@@ -83,7 +83,7 @@
         // What the instance has said since it was chosen counts: a connection may take its time.
         boolean may = gateway.dispatcher().mayWrite(instance.id(), BootClock.nanos());
         if (may) {
-            listener.sending();
+            listener.onSending();
         }
         return may;
     }
@@ -92,7 +92,7 @@
     public void answered(HttpResponse answer) {
         head = answer;
         long now = BootClock.nanos();
-        gateway.upstreamWords().heard(instance.id(), answer, limitKnown);
+        gateway.upstreamWords().receive(instance.id(), answer, limitKnown);
         AnswerHeaders.load(answer.headers()::get)
                 .ifPresent(
                         load ->
@@ -126,7 +126,7 @@
                 firstSeen = true;
                 gateway.promptRead();
             }
-            listener.event(head, event);
+            listener.onEvent(head, event);
             event = events.next();
         }
     }
@@ -135,10 +135,10 @@
     public void completed() {
         gateway.dispatcher().requestEnded(sending, BootClock.nanos());
         if (plainBody != null) {
-            listener.answered(head, plainBody);
+            listener.onAnswer(head, plainBody);
         } else {
             gateway.dispatcher().requestSucceeded(instance.id());
-            listener.streamEnded(head, events.rest());
+            listener.onStreamEnd(head, events.remaining());
         }
     }
 
@@ -153,6 +153,6 @@
         if (failure.stage() != CallFailure.Stage.WITHDRAWN) {
             gateway.dispatcher().connectionFailed(instance.id(), now);
         }
-        listener.brokeOff(failure);
+        listener.onFailure(failure);
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamLimits.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamLimitClient.java
@@ -28,42 +28,42 @@
  * Tells the leader of the control group which limits upstreams name to one entry host, and asks it
  * for permits to send to them. Used on one event loop.
  */
-final class UpstreamLimits {
+final class UpstreamLimitClient {
 
-    private static final Logger logger = LogManager.getLogger(UpstreamLimits.class);
+    private static final Logger logger = LogManager.getLogger(UpstreamLimitClient.class);
 
     /** Between two looks at what is due, beside what requests bring up themselves. */
-    private static final long LOOK_MILLIS = 50;
+    private static final long CHECK_INTERVAL_MILLIS = 50;
 
     /** A leader answers within some milliseconds; once it does not, all control hosts are asked. */
-    private static final long LEADER_ANSWERS_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
+    private static final long LEADER_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
     private final HostId self;
     private final EventLoop loop;
     private final LimitedUpstreams limits;
-    private final ControlWay way;
+    private final ControlHostConnections controlHosts;
     private final FleetMetrics metrics;
     private final Set<UpstreamId> unreadable = new HashSet<>();
     private Optional<HostId> leader = Optional.empty();
     private long leaderAnsweredAt;
-    private boolean lookScheduled;
-    private boolean looking;
+    private boolean checkScheduled;
+    private boolean periodicCheckScheduled;
 
-    UpstreamLimits(
+    UpstreamLimitClient(
             HostId self,
             EventLoop loop,
             LimitedUpstreams limits,
-            ControlWay way,
+            ControlHostConnections way,
             FleetMetrics metrics) {
         this.self = self;
         this.loop = loop;
         this.limits = limits;
-        this.way = way;
+        this.controlHosts = way;
         this.metrics = metrics;
     }
 
     /** Returns what is known of an instance's limit as a request is sent to it. */
-    LimitRevision sent(UpstreamId id) {
+    LimitRevision recordSent(UpstreamId id) {
         if (limits.limit(id).isPresent()) {
             metrics.limitedRequest("sent");
         }
@@ -75,9 +75,9 @@
      *
      * @param basis what was known of the limit when the request was sent
      */
-    void answered(UpstreamId id, HttpResponse head, LimitRevision basis) {
+    void readLimit(UpstreamId id, HttpResponse head, LimitRevision basis) {
         AnswerHeaders.limit(head.headers()::get)
-                .peek(limit -> named(id, limit, basis))
+                .peek(limit -> observeLimit(id, limit, basis))
                 .peekLeft(
                         finding -> {
                             if (unreadable.add(id)) {
@@ -86,7 +86,7 @@
                         });
     }
 
-    private void named(UpstreamId id, OptionalDouble limit, LimitRevision basis) {
+    private void observeLimit(UpstreamId id, OptionalDouble limit, LimitRevision basis) {
         OptionalDouble before = limits.limit(id);
         limits.observe(id, limit, basis, BootClock.nanos())
                 .ifPresent(
@@ -99,13 +99,13 @@
                                     LimitUpdate.text(before),
                                     basis.term(),
                                     basis.sequence());
-                            tellAll(heard);
-                            keepLooking();
+                            publishObservation(heard);
+                            schedulePeriodicCheck();
                         });
     }
 
     /** Takes in what the leader says of limits, and returns whether it changes anything. */
-    boolean told(LimitWords words) {
+    boolean receiveUpdates(LimitWords words) {
         boolean changed = false;
         for (LimitUpdate word : LimitCodec.words(words)) {
             if (limits.receive(word)) {
@@ -113,69 +113,69 @@
                 logger.info("upstream.limit-in-force {}", word.fields());
             }
         }
-        keepLooking();
+        schedulePeriodicCheck();
         return changed;
     }
 
     /** Takes in an answer of the leader, and returns whether a request may be sent. */
-    boolean answered(PermitReply reply) {
+    boolean receivePermitReply(PermitReply reply) {
         leader = Optional.of(new HostId(reply.getLeader()));
         leaderAnsweredAt = BootClock.nanos();
         return limits.receiveAnswer(LimitCodec.answer(self, reply), leaderAnsweredAt);
     }
 
     /** All requests that wait are about to be looked at anew. */
-    void recount() {
+    void resetWaiting() {
         limits.resetWaiting();
     }
 
     /** Has what requests want asked for at once. */
-    void lookSoon() {
-        if (!lookScheduled && limits.size() > 0) {
-            lookScheduled = true;
+    void scheduleCheck() {
+        if (!checkScheduled && limits.size() > 0) {
+            checkScheduled = true;
             loop.execute(
                     () -> {
-                        lookScheduled = false;
-                        look();
+                        checkScheduled = false;
+                        check();
                     });
         }
     }
 
     /** Looks again and again while there are limits; without any, no timer wakes this host. */
-    private void keepLooking() {
-        if (!looking && limits.size() > 0) {
-            looking = true;
-            loop.schedule(this::lookAgain, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+    private void schedulePeriodicCheck() {
+        if (!periodicCheckScheduled && limits.size() > 0) {
+            periodicCheckScheduled = true;
+            loop.schedule(this::runPeriodicCheck, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void lookAgain() {
-        looking = false;
+    private void runPeriodicCheck() {
+        periodicCheckScheduled = false;
         try {
-            look();
+            check();
         } finally {
-            keepLooking();
+            schedulePeriodicCheck();
         }
     }
 
-    private void look() {
+    private void check() {
         long now = BootClock.nanos();
         for (PermitRequest want : limits.dueRequests(now)) {
-            ask(LimitCodec.ask(want, limits.latestUpdate(want.upstream())), now);
+            sendPermitRequest(LimitCodec.ask(want, limits.latestUpdate(want.upstream())), now);
         }
-        limits.dueObservations(now).forEach(this::tellAll);
+        limits.dueObservations(now).forEach(this::publishObservation);
     }
 
-    private void ask(Frame frame, long now) {
-        boolean answers = now - leaderAnsweredAt < LEADER_ANSWERS_NANOS;
-        boolean sent = answers && leader.filter(host -> way.send(host, frame)).isPresent();
+    private void sendPermitRequest(Frame frame, long now) {
+        boolean answers = now - leaderAnsweredAt < LEADER_TIMEOUT_NANOS;
+        boolean sent = answers && leader.filter(host -> controlHosts.send(host, frame)).isPresent();
         if (!sent) {
-            way.sendToAll(frame);
+            controlHosts.sendToAll(frame);
         }
     }
 
-    private void tellAll(LimitObservation heard) {
-        way.sendToAll(LimitCodec.heard(self, heard));
+    private void publishObservation(LimitObservation heard) {
+        controlHosts.sendToAll(LimitCodec.heard(self, heard));
     }
 
     /** Forgets an instance that is gone. */
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestCopy.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamRequestFactory.java
@@ -16,11 +16,11 @@
  * Makes what an instance gets of a caller's request: the same, but for one connection's headers and
  * those that only the system may send.
  */
-final class RequestCopy {
+final class UpstreamRequestFactory {
 
     private static final int LEAST_URGENT = 9;
 
-    private RequestCopy() {}
+    private UpstreamRequestFactory() {}
 
     /**
      * Returns the request for an instance.
@@ -30,7 +30,7 @@
      * @param leftMillis how long the instance may work on it
      * @param lastEvent the last event that the caller holds of a stream that broke off
      */
-    static FullHttpRequest of(
+    static FullHttpRequest create(
             CallerRequest request,
             Need need,
             Instance instance,
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/WaitingRequests.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/WaitingRequests.java
@@ -18,8 +18,8 @@
 final class WaitingRequests {
 
     private final Set<RelayedRequest> requests = new LinkedHashSet<>();
-    private final Runnable beforeAll;
-    private boolean trying;
+    private final Runnable beforeRetry;
+    private boolean retrying;
 
     /**
      * Creates a line in which nobody waits.
@@ -27,7 +27,7 @@
      * @param beforeAll run before all that wait are tried anew
      */
     WaitingRequests(Runnable beforeAll) {
-        this.beforeAll = beforeAll;
+        this.beforeRetry = beforeAll;
     }
 
     void add(RelayedRequest request) {
@@ -47,9 +47,9 @@
     }
 
     /** Returns how many requests for the same model come before one, which need not wait yet. */
-    int before(RelayedRequest request) {
+    int countAhead(RelayedRequest request) {
         int count = 0;
-        Comparator<RelayedRequest> order = order(BootClock.nanos());
+        Comparator<RelayedRequest> order = servingOrder(BootClock.nanos());
         for (RelayedRequest other : requests) {
             boolean same = other.need().model().equals(request.need().model());
             if (same && other != request && order.compare(other, request) < 0) {
@@ -59,29 +59,29 @@
         return count;
     }
 
-    private static Comparator<RelayedRequest> order(long now) {
+    private static Comparator<RelayedRequest> servingOrder(long now) {
         return Comparator.comparing((RelayedRequest request) -> request.late(now))
                 .thenComparingInt(request -> request.need().rank())
                 .thenComparingLong(RelayedRequest::deadlineAt);
     }
 
     /** Tries each once; a request that is sent or refused leaves. */
-    void tryAll() {
-        if (trying || requests.isEmpty()) {
+    void retryAll() {
+        if (retrying || requests.isEmpty()) {
             return;
         }
-        trying = true;
+        retrying = true;
         try {
-            beforeAll.run();
+            beforeRetry.run();
             List<RelayedRequest> inOrder = new ArrayList<>(requests);
-            inOrder.sort(order(BootClock.nanos()));
+            inOrder.sort(servingOrder(BootClock.nanos()));
             for (RelayedRequest request : inOrder) {
                 if (requests.contains(request)) {
                     request.tryAgain();
                 }
             }
         } finally {
-            trying = false;
+            retrying = false;
         }
     }
 }
--- a/stackhall-server/src/test/java/io/stackhall/server/gateway/EventAssemblerProperties.java
+++ b/stackhall-server/src/test/java/io/stackhall/server/gateway/EventAssemblerProperties.java
@@ -16,7 +16,7 @@
 class EventAssemblerProperties {
 
     @Property(tries = 300)
-    void eventsDoNotDependOnHowTheirBytesArrive(@ForAll long seed) {
+    void eventsDoNotDependOnChunkBoundaries(@ForAll long seed) {
         Random random = new Random(seed);
         List<String> events = new ArrayList<>();
         for (int id = 1; id <= 1 + random.nextInt(6); id++) {
@@ -42,7 +42,7 @@
         }
         assertThat(seen).isEqualTo(events);
         assertThat(ids).hasSize(events.size()).startsWith(1L);
-        ByteBuf left = assembler.rest();
+        ByteBuf left = assembler.remaining();
         assertThat(left.toString(StandardCharsets.UTF_8)).isEqualTo(rest);
     }
 
--- a/stackhall-server/src/test/java/io/stackhall/server/gateway/RequestRightsTest.java
+++ b/stackhall-server/src/test/java/io/stackhall/server/gateway/RequestAuthorizationTest.java
@@ -21,7 +21,7 @@
 import io.stackhall.rpc.generated.fleet.AllowanceClaim;
 import io.stackhall.rpc.generated.fleet.AllowanceDecision;
 import io.stackhall.rpc.generated.peer.Frame;
-import io.stackhall.server.gateway.RequestRights.Right;
+import io.stackhall.server.gateway.RequestAuthorization.Decision;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -35,7 +35,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What one request asks of its customer's allowance while it waits, is sent and ends. */
-class RequestRightsTest {
+class RequestAuthorizationTest {
 
     private static final HostId LEADER = new HostId("10.0.0.1:7400");
     private static final Customer NORTH =
@@ -46,12 +46,12 @@
                     Optional.of(new CustomerLimit(CustomerLimit.Unit.TOKENS, 100, 100, 7)));
 
     private final DefaultEventLoop loop = new DefaultEventLoop();
-    private final FakeLeader leader = new FakeLeader();
-    private CustomerGate gate;
+    private final FakeLeader fakeLeader = new FakeLeader();
+    private CustomerAccess customerAccess;
     private AllowanceClient client;
 
     /** Takes down what it is asked, and answers when a test says so. */
-    private static final class FakeLeader implements ControlWay {
+    private static final class FakeLeader implements ControlHostConnections {
         private final List<AllowanceClaim> claims = new ArrayList<>();
 
         @Override
@@ -70,9 +70,9 @@
     void open() {
         OutageAllowance outage =
                 new OutageAllowance(new LimitTolerance(Duration.ofSeconds(8), 0, 0), new Random(1));
-        client = new AllowanceClient(loop, leader, outage, () -> 1);
-        gate = new CustomerGate(new KeyLease(Optional.empty()), outage, client);
-        gate.customers(new Customers(List.of(NORTH)));
+        client = new AllowanceClient(loop, fakeLeader, outage, () -> 1);
+        customerAccess = new CustomerAccess(new KeyLease(Optional.empty()), outage, client);
+        customerAccess.setCustomers(new Customers(List.of(NORTH)));
     }
 
     @AfterEach
@@ -81,47 +81,47 @@
     }
 
     @Test
-    void requestThatWaitsAsksOnceAndAgainOnlyWhenItIsAboutToBeSent() throws Exception {
-        RequestRights rights = rights();
-        assertThat(judge(rights)).isInstanceOf(Right.Awaited.class);
+    void waitingRequestClaimsOnceAndAgainOnlyBeforeSending() throws Exception {
+        RequestAuthorization rights = authorization();
+        assertThat(evaluate(rights)).isInstanceOf(Decision.Pending.class);
         answerAll();
         for (int look = 0; look < 16; look++) {
-            assertThat(judge(rights)).isInstanceOf(Right.Good.class);
+            assertThat(evaluate(rights)).isInstanceOf(Decision.Allowed.class);
             TimeUnit.MILLISECONDS.sleep(25);
         }
-        assertThat(leader.claims).hasSize(1);
-        assertThat(loop.submit(rights::fresh).get()).isFalse();
+        assertThat(fakeLeader.claims).hasSize(1);
+        assertThat(loop.submit(rights::ensureFreshGrant).get()).isFalse();
         settle();
-        assertThat(leader.claims).hasSize(2);
-        assertThat(leader.claims.getLast().getReturned()).isEqualTo(7);
+        assertThat(fakeLeader.claims).hasSize(2);
+        assertThat(fakeLeader.claims.getLast().getReturned()).isEqualTo(7);
         answerAll();
-        assertThat(loop.submit(rights::fresh).get()).isTrue();
+        assertThat(loop.submit(rights::ensureFreshGrant).get()).isTrue();
     }
 
     @Test
-    void grantThatComesAfterTheEndIsGivenBack() throws Exception {
-        RequestRights rights = rights();
-        judge(rights);
+    void grantAfterRequestEndIsReturned() throws Exception {
+        RequestAuthorization rights = authorization();
+        evaluate(rights);
         loop.submit(() -> rights.close(false)).get();
         answerAll();
-        assertThat(leader.claims).hasSize(2);
-        assertThat(leader.claims.getLast().getNumber()).isZero();
-        assertThat(leader.claims.getLast().getReturned()).isEqualTo(7);
+        assertThat(fakeLeader.claims).hasSize(2);
+        assertThat(fakeLeader.claims.getLast().getNumber()).isZero();
+        assertThat(fakeLeader.claims.getLast().getReturned()).isEqualTo(7);
     }
 
     @Test
-    void whatWasSentAndHasNotRunIsGivenBack() throws Exception {
-        RequestRights rights = rights();
-        judge(rights);
+    void allowanceOfSentButNotRunRequestIsReturned() throws Exception {
+        RequestAuthorization rights = authorization();
+        evaluate(rights);
         answerAll();
-        loop.submit(rights::use).get();
+        loop.submit(rights::useGrant).get();
         loop.submit(() -> rights.close(false)).get();
         settle();
-        assertThat(leader.claims.getLast().getReturned()).isEqualTo(7);
+        assertThat(fakeLeader.claims.getLast().getReturned()).isEqualTo(7);
     }
 
-    private Right judge(RequestRights rights) throws Exception {
-        Right right = loop.submit(rights::judge).get();
+    private Decision evaluate(RequestAuthorization rights) throws Exception {
+        Decision right = loop.submit(rights::evaluate).get();
         settle();
         return right;
     }
@@ -134,7 +134,7 @@
     private void answerAll() throws Exception {
         AllowanceAnswer.Builder answer =
                 AllowanceAnswer.newBuilder().setLeads(true).setLeader(LEADER.value());
-        leader.claims.stream()
+        fakeLeader.claims.stream()
                 .filter(claim -> claim.getNumber() != 0)
                 .forEach(
                         claim ->
@@ -142,11 +142,11 @@
                                         AllowanceDecision.newBuilder()
                                                 .setNumber(claim.getNumber())
                                                 .setGranted(true)));
-        loop.submit(() -> client.received(answer.build())).get();
+        loop.submit(() -> client.receive(answer.build())).get();
         settle();
     }
 
-    private RequestRights rights() {
+    private RequestAuthorization authorization() {
         CallerRequest request =
                 new CallerRequest(
                         HttpMethod.GET,
@@ -154,7 +154,7 @@
                         new DefaultHttpHeaders().add("Authorization", "Token k"),
                         new byte[0],
                         0);
-        return new RequestRights(gate, request, route(), () -> {});
+        return new RequestAuthorization(customerAccess, request, route(), () -> {});
     }
 
     private static Route route() {
--- a/stackhall-server/src/test/java/io/stackhall/server/gateway/RequestTimesTest.java
+++ b/stackhall-server/src/test/java/io/stackhall/server/gateway/RequestDeadlinesTest.java
@@ -10,22 +10,24 @@
 import org.junit.jupiter.api.Test;
 
 /** Until when an answer is of use. */
-class RequestTimesTest {
+class RequestDeadlinesTest {
 
     private static final long ARRIVED = Duration.ofSeconds(7).toNanos();
 
     @Test
-    void answerCanOnlyBeLateOnceAnIdleEngineWouldMissTheObjective() {
-        RequestTimes times = new RequestTimes(ARRIVED, ARRIVED + millis(12_000), route(400));
-        assertThat(times.late(ARRIVED + millis(349))).isFalse();
-        assertThat(times.late(ARRIVED + millis(351))).isTrue();
+    void isLateOnceAnIdleEngineWouldMissTheObjective() {
+        RequestDeadlines times =
+                new RequestDeadlines(ARRIVED, ARRIVED + millis(12_000), route(400));
+        assertThat(times.isLate(ARRIVED + millis(349))).isFalse();
+        assertThat(times.isLate(ARRIVED + millis(351))).isTrue();
     }
 
     @Test
-    void patientCallerIsNotLateForSeconds() {
-        RequestTimes times = new RequestTimes(ARRIVED, ARRIVED + millis(20_000), route(5000));
-        assertThat(times.late(ARRIVED + millis(4300))).isFalse();
-        assertThat(times.late(ARRIVED + millis(4400))).isTrue();
+    void isNotLateForSecondsUnderALongObjective() {
+        RequestDeadlines times =
+                new RequestDeadlines(ARRIVED, ARRIVED + millis(20_000), route(5000));
+        assertThat(times.isLate(ARRIVED + millis(4300))).isFalse();
+        assertThat(times.isLate(ARRIVED + millis(4400))).isTrue();
     }
 
     private static Route route(long objectiveMillis) {
