--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/AllowanceClient.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/AllowanceClient.java
@@ -24,17 +24,21 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Asks the leader of the control group what customers may have run, several requests at a time.
- * While it does not answer, this host decides by its share for outages. Used on one event loop.
+ * Claims customers' allowances for requests from the leader of the control group, several claims in
+ * one message. While the leader does not answer, this host decides from its share of the {@link
+ * OutageAllowance}. Not thread-safe: confined to one event loop.
  */
 final class AllowanceClient {
 
     private static final Logger logger = LogManager.getLogger(AllowanceClient.class);
 
-    /** A sound leader answers within some milliseconds; the shortest objectives are 120 ms. */
+    /**
+     * A healthy leader answers within some milliseconds; the shortest latency objectives are 120
+     * ms, and the local decision has to come before them.
+     */
     private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(100);
 
-    /** How often a leader that did not answer is asked whether it does again. */
+    /** Minimum time between two probes of a leader that has not answered. */
     private static final Duration PROBE_INTERVAL = Duration.ofMillis(150);
 
     private final EventLoop loop;
@@ -48,35 +52,39 @@
     private boolean leaderUnresponsive;
     private long lastProbeAt;
 
-    /** A request whose decision is awaited. */
+    /** A claim that has not been decided. */
     private record PendingClaim(
             Customer customer, double cost, Consumer<AllowanceVerdict> onDecision) {}
 
     /**
-     * Creates a client that knows of no leader.
+     * Creates a client that does not know the leader yet.
      *
-     * @param entryHosts tells how many entry hosts share what is allowed during outages
+     * @param entryHostCount supplies the number of entry hosts that share the outage allowance
      */
     AllowanceClient(
             EventLoop loop,
-            ControlHostConnections way,
-            OutageAllowance outage,
-            IntSupplier entryHosts) {
+            ControlHostConnections controlHosts,
+            OutageAllowance outageAllowance,
+            IntSupplier entryHostCount) {
         this.loop = loop;
-        this.controlHosts = way;
-        this.outageAllowance = outage;
-        this.entryHostCount = entryHosts;
+        this.controlHosts = controlHosts;
+        this.outageAllowance = outageAllowance;
+        this.entryHostCount = entryHostCount;
     }
 
     /**
-     * Asks for a request's part of its customer's allowance.
+     * Claims a request's cost from its customer's allowance.
      *
-     * @param returned what was granted for it before and has not been run
-     * @param decided told of the decision, always later
+     * @param returned the cost of an earlier, unused grant to the same request, 0 if none
+     * @param onDecision called with the decision in a later task of the event loop, never before
+     *     this method returns
      */
     void claim(
-            Customer customer, double cost, double returned, Consumer<AllowanceVerdict> decided) {
-        PendingClaim claim = new PendingClaim(customer, cost, decided);
+            Customer customer,
+            double cost,
+            double returned,
+            Consumer<AllowanceVerdict> onDecision) {
+        PendingClaim claim = new PendingClaim(customer, cost, onDecision);
         if (leaderUnresponsive) {
             probe(BootClock.nanos());
             loop.execute(() -> decideLocally(claim));
@@ -89,7 +97,9 @@
                 () -> handleTimeout(number), ANSWER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    /** Gives back what was granted and has not been run. */
+    /**
+     * Returns the cost of a grant whose request was not run; a no-op while the leader is silent.
+     */
     void returnUnused(Customer customer, double cost) {
         if (!leaderUnresponsive) {
             enqueue(
@@ -100,7 +110,7 @@
         }
     }
 
-    /** Takes in what a control host answers. */
+    /** Handles a control host's answer, which holds decisions or names the current leader. */
     void receive(AllowanceAnswer answer) {
         if (answer.getLeads()) {
             leader = Optional.of(new HostId(answer.getLeader()));
@@ -114,12 +124,12 @@
         }
     }
 
-    /** Asks again, at another host, what nobody has decided yet. */
-    private void switchLeader(HostId next) {
-        if (leader.filter(next::equals).isPresent()) {
+    /** Resends all undecided claims to a newly named leader. */
+    private void switchLeader(HostId newLeader) {
+        if (leader.filter(newLeader::equals).isPresent()) {
             return;
         }
-        leader = Optional.of(next);
+        leader = Optional.of(newLeader);
         pendingClaims.forEach((number, claim) -> enqueue(encode(number, claim).build()));
         if (leaderUnresponsive) {
             probe(BootClock.nanos());
@@ -139,7 +149,10 @@
                                         Duration.ofMillis(decision.getRetryAfterMillis())));
     }
 
-    /** What is granted after this is not given back: it was decided otherwise. */
+    /**
+     * Decides a claim locally that the leader has not answered in time. A grant that arrives
+     * afterwards is not returned, since the request was decided without it.
+     */
     private void handleTimeout(long number) {
         PendingClaim claim = pendingClaims.remove(number);
         if (claim == null) {
@@ -180,10 +193,10 @@
     }
 
     private void flush() {
-        List<AllowanceClaim> together = unsent;
+        List<AllowanceClaim> batch = unsent;
         unsent = new ArrayList<>();
-        Optional<HostId> to = leader.or(() -> controlHosts.connected().stream().findFirst());
-        boolean sent = to.filter(host -> controlHosts.send(host, frame(together))).isPresent();
+        Optional<HostId> target = leader.or(() -> controlHosts.connected().stream().findFirst());
+        boolean sent = target.filter(host -> controlHosts.send(host, frame(batch))).isPresent();
         if (!sent) {
             leader = Optional.empty();
             probe(BootClock.nanos());
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/AnswerWriter.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/AnswerWriter.java
@@ -4,21 +4,21 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** Where the answer to one request goes. */
+/** Writes the answer to one request to its caller's connection. */
 interface AnswerWriter {
 
-    /** Writes a whole answer. */
+    /** Writes a complete answer, head and body. */
     void writeAnswer(FullHttpResponse response);
 
-    /** Writes the head of an answer whose body follows in parts. */
+    /** Writes the head of an answer whose body follows through {@link #writePart}. */
     void writeHead(HttpResponse head);
 
-    /** Writes a part of the body; takes the buffer over. */
+    /** Writes a part of the body; takes ownership of the buffer. */
     void writePart(ByteBuf bytes);
 
     /** Ends the body. */
     void end();
 
-    /** Breaks the connection off, so that what was written doesn't look complete. */
+    /** Closes the connection, so that the caller sees the partial answer as truncated. */
     void abort();
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/AttemptListener.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/AttemptListener.java
@@ -4,21 +4,25 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.stackhall.server.relay.CallFailure;
 
-/** Hears what one instance makes of a request. */
+/** Receives the events of one attempt to run a request at an instance. */
 interface AttemptListener {
 
-    /** The request is about to be written. */
+    /** Called when the request is about to be written to the instance. */
     void onSending();
 
-    /** A whole event of a stream has come; takes the buffer over. */
+    /** Called with each complete event of a stream; takes ownership of the event's buffer. */
     void onEvent(HttpResponse head, EventAssembler.Event event);
 
-    /** The stream has ended whole; takes the buffer over, which holds what followed its events. */
+    /**
+     * Called when the stream has ended normally; takes ownership of the buffer.
+     *
+     * @param rest the bytes after the last complete event
+     */
     void onStreamEnd(HttpResponse head, ByteBuf rest);
 
-    /** A whole answer that is no stream has come; takes the buffer over. */
+    /** Called with a complete answer that is not a stream; takes ownership of the buffer. */
     void onAnswer(HttpResponse head, ByteBuf body);
 
-    /** The instance has broken off or could not be reached. */
+    /** Called when the instance could not be reached or the connection broke during the attempt. */
     void onFailure(CallFailure failure);
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/CallerRequest.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/CallerRequest.java
@@ -16,52 +16,52 @@
 import java.util.OptionalLong;
 
 /**
- * One request as it came from a caller.
+ * A caller's request as received.
  *
- * @param method its method
+ * @param method its HTTP method
  * @param target its path and query, unchanged
  * @param headers its headers, unchanged
- * @param body its whole body
- * @param arrivedAt when its head had arrived, on the monotonic clock in nanoseconds
+ * @param body its complete body
+ * @param arrivedAt when its head had been received, in nanoseconds of {@code BootClock}
  */
 record CallerRequest(
         HttpMethod method, String target, HttpHeaders headers, byte[] body, long arrivedAt) {
 
-    /** Returns the caller's name for this attempt, empty where it gave none. */
+    /** Returns the request id that the caller has set, or an empty string. */
     String id() {
         return RequestHeaders.requestId(headers::get);
     }
 
-    /** Returns whom it is addressed to, empty where it does not say. */
+    /** Returns the value of the Host header, or an empty string. */
     String authority() {
         return headers.get(HttpHeaderNames.HOST, "");
     }
 
-    /** Computes by what it is known again when it comes another time. */
+    /** Computes the digest by which a repetition of this request is recognized. */
     RequestDigest digest() {
         return RequestDigest.of(method.name(), authority(), target, body);
     }
 
-    /** Returns the digests of the customers' keys that it carries. */
+    /** Returns the digests of the customer keys in its Authorization headers. */
     List<KeyDigest> keyDigests() {
         return RequestHeaders.keys(headers.getAll(Headers.AUTHORIZATION));
     }
 
-    /** Returns the tokens of its prompt and the most of its answer, 0 where it does not say. */
+    /** Returns the tokens of its prompt plus the maximum of its answer; an absent count is 0. */
     int tokenCount() {
         RequestHeaders.Prompt prompt = RequestHeaders.prompt(headers::get);
         return prompt.promptTokens() + prompt.answerTokens();
     }
 
-    /** Returns how long the caller waits, in milliseconds, if it says so. */
+    /** Returns the caller's deadline in milliseconds from arrival, if it has set one. */
     OptionalLong deadlineMillis() {
         return RequestHeaders.deadlineMillis(headers::get);
     }
 
     /**
-     * Returns what it needs of an instance of a service.
+     * Returns its requirements on an instance of a service: model, adapter and prompt size.
      *
-     * @param rank how urgent it is, 0 first
+     * @param rank its urgency, 0 being the most urgent
      */
     Need need(ServiceName service, int rank) {
         RequestHeaders.Prompt prompt = RequestHeaders.prompt(headers::get);
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlHostConnections.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlHostConnections.java
@@ -7,13 +7,17 @@
 /** The connections of an entry host to the control hosts. */
 interface ControlHostConnections {
 
-    /** Sends a frame to a control host, if it is connected. */
+    /**
+     * Sends a frame to a control host.
+     *
+     * @return false if the host is not connected
+     */
     boolean send(HostId host, Frame frame);
 
-    /** Returns the control hosts that are connected. */
+    /** Returns the connected control hosts. */
     List<HostId> connected();
 
-    /** Sends a frame to every control host that is connected. */
+    /** Sends a frame to every connected control host. */
     default void sendToAll(Frame frame) {
         connected().forEach(host -> send(host, frame));
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlNotifier.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlNotifier.java
@@ -15,10 +15,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Tells the control hosts what requests have met, the same again only after a while. */
+/**
+ * Notifies the control hosts of what this host has learned from requests to instances. Suppresses
+ * repetitions of the same notice within 250 ms.
+ */
 final class ControlNotifier {
 
-    /** An order takes some ten milliseconds; told again, it does no harm. */
+    /** An order to an engine takes some ten milliseconds; a repeated notice does no harm. */
     private static final long REPEAT_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
     private final HostId self;
@@ -30,7 +33,7 @@
         this.toControlHosts = toControlHosts;
     }
 
-    /** Says that a request waits for an adapter. */
+    /** Notifies that a request waits for an adapter at an instance. */
     void notifyAdapterWanted(Instance instance, Need need) {
         AdapterWanted wanted =
                 AdapterWanted.newBuilder()
@@ -41,7 +44,7 @@
         sendUnlessRecent(Frame.newBuilder().setAdapterWanted(wanted).build());
     }
 
-    /** Says that no connection to an instance came up. */
+    /** Notifies that no connection to an instance could be established; ignores other stages. */
     void notifyUnreachable(Instance instance, Stage stage) {
         if (stage != Stage.REFUSED && stage != Stage.NO_CONNECTION) {
             return;
@@ -55,12 +58,12 @@
         sendUnlessRecent(Frame.newBuilder().setInstanceUnreachable(unreachable).build());
     }
 
-    /** Says that an instance has said in an answer that it leaves. */
+    /** Notifies that an instance has announced in an answer that it is leaving. */
     void notifyLeaving(UpstreamId id) {
         sendUnlessRecent(leavingFrame(id));
     }
 
-    /** Returns the frame that says that an instance leaves. */
+    /** Returns the notice that an instance is leaving. */
     Frame leavingFrame(UpstreamId id) {
         InstanceLeaving leaving =
                 InstanceLeaving.newBuilder()
@@ -70,7 +73,7 @@
         return Frame.newBuilder().setInstanceLeaving(leaving).build();
     }
 
-    /** Forgets what was told long ago. */
+    /** Removes records of notices that may be sent again. */
     void sweep() {
         long now = BootClock.nanos();
         lastSentAt.values().removeIf(at -> now - at >= REPEAT_INTERVAL_NANOS);
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlSubscriber.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlSubscriber.java
@@ -34,17 +34,19 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Keeps an entry host's routes and instances as the control hosts tell them. It follows several, so
- * that one that is cut off or slow holds nothing up. Used on one event loop.
+ * Keeps an entry host's routes and instances up to date from the updates of the control hosts. It
+ * subscribes to several of them, so that a slow or partitioned one delays nothing. The primary is
+ * the control host that this host sends its reports to. Not thread-safe: confined to one event
+ * loop, except where noted.
  */
 final class ControlSubscriber {
 
     private static final Logger logger = LogManager.getLogger(ControlSubscriber.class);
 
-    /** A quorum answers within some milliseconds; one question in a second may be lost. */
+    /** A quorum confirms within some milliseconds; one request per second may be lost. */
     private static final Duration CONFIRMATION_TIMEOUT = Duration.ofMillis(1500);
 
-    /** An entry host never judges silence itself: control hosts tell. */
+    /** Effectively disabled: control hosts detect silent instances and notify the entry hosts. */
     private static final Duration SILENCE_TIMEOUT = Duration.ofDays(365);
 
     private final FleetSettings settings;
@@ -66,13 +68,13 @@
             FleetSettings settings,
             EventLoop loop,
             PeerTransport transport,
-            ControlHosts hosts,
+            ControlHosts controlHosts,
             Gateway gateway,
             RandomGenerator random) {
         this.settings = settings;
         this.loop = loop;
         this.transport = transport;
-        this.controlHosts = hosts;
+        this.controlHosts = controlHosts;
         this.gateway = gateway;
         this.random = random;
         this.primarySelector = new PrimarySelector(settings.peerName(), settings.zone());
@@ -81,17 +83,22 @@
                 .setLeavingListener(id -> instanceTable.drain(id).forEach(gateway::changed));
     }
 
-    /** Puts routes into force that nobody has confirmed for long enough. */
+    /** Activates routes that have waited long enough for a confirmation. */
     void activateRoutes() {
         routesUpdater.activateIfAllowed();
     }
 
-    /** Returns whether this host knows enough to take callers' requests. */
+    /**
+     * Returns whether routes and instances are known, so that callers' requests can be accepted.
+     */
     boolean isReady() {
         return gateway.knowsRoutes() && knowsInstances;
     }
 
-    /** A connection to a control host has come up. */
+    /**
+     * Subscribes to a control host to which a connection has been established, and sends it the
+     * crash and leaving notices that it may have missed. May be called on any thread.
+     */
     void onConnected(HostId host) {
         loop.execute(
                 () -> {
@@ -104,20 +111,21 @@
                 });
     }
 
-    /** Asks every control host again, so that what was lost is told again. */
+    /** Renews the subscription to every control host, so that lost updates are sent again. */
     void subscribeToAll() {
         selectPrimary();
         connectedHosts().forEach(this::subscribe);
     }
 
     /**
-     * Has a quorum confirm the routes in force, by way of the primary; once that has failed, by way
-     * of every control host.
+     * Requests a confirmation of the active routes by a quorum, through the primary; once that has
+     * timed out, through every control host.
      */
     void requestConfirmation() {
-        boolean overdue = gateway.customers().confirmationAge().compareTo(CONFIRMATION_TIMEOUT) > 0;
+        boolean timedOut =
+                gateway.customers().confirmationAge().compareTo(CONFIRMATION_TIMEOUT) > 0;
         connectedHosts().stream()
-                .filter(host -> overdue || primary.filter(host::equals).isPresent())
+                .filter(host -> timedOut || primary.filter(host::equals).isPresent())
                 .forEach(host -> subscribe(host, true));
     }
 
@@ -125,7 +133,7 @@
         return controlHosts.all().stream().filter(transport::connected).toList();
     }
 
-    /** Sends a report to the primary, which passes it on. */
+    /** Sends a report to the primary, which forwards it to the other hosts. */
     void sendToPrimary(Frame frame) {
         boolean sent = primary.filter(host -> transport.send(host, frame)).isPresent();
         if (!sent) {
@@ -134,13 +142,15 @@
         }
     }
 
-    /** Returns how many entry hosts the primary serves, if all control hosts serve alike. */
+    /**
+     * Returns the number of entry hosts per connected control host, assuming an even distribution.
+     */
     int entryHostsPerControlHost() {
         int connected = Math.max(1, controlHosts.connected().size());
         return Math.ceilDiv(gateway.entryHosts(), connected);
     }
 
-    /** Takes another primary at once where that of before is no longer the best. */
+    /** Switches to another primary as soon as the current one is no longer the best choice. */
     private void selectPrimary() {
         Optional<HostId> best = primarySelector.select(controlHosts.connected(), BootClock.nanos());
         if (best.equals(primary)) {
@@ -161,7 +171,7 @@
         controlHosts.all().forEach(host -> transport.send(host, frame));
     }
 
-    /** Takes a frame from a control host, on any thread. */
+    /** Receives a frame from a control host. May be called on any thread. */
     void receive(Frame frame, Replier replier) {
         loop.execute(() -> receiveOnLoop(frame, replier));
     }
@@ -211,8 +221,8 @@
                 .peekLeft(finding -> logger.warn("upstream.record-refused {}", finding));
     }
 
-    private void updateLimits(LimitWords words) {
-        if (gateway.upstreamLimits().receiveUpdates(words)) {
+    private void updateLimits(LimitWords updates) {
+        if (gateway.upstreamLimits().receiveUpdates(updates)) {
             gateway.serveWaiting();
         }
     }
@@ -236,8 +246,8 @@
         gateway.dispatcher().updateRemoteUnreadTokens(workBoard.mostUnread(now), now);
     }
 
-    private void updateEvacuatedZones(EvacuatedZones told) {
-        EvacuatedZones newest = evacuatedZones.newer(told);
+    private void updateEvacuatedZones(EvacuatedZones update) {
+        EvacuatedZones newest = evacuatedZones.newer(update);
         if (newest.equals(evacuatedZones)) {
             return;
         }
@@ -268,7 +278,7 @@
         gateway.serveWaiting();
     }
 
-    /** Asks any control host for the whole of the newest configuration. */
+    /** Requests the complete newest configuration from a random connected control host. */
     private void requestRoutes() {
         List<HostId> connected = connectedHosts();
         if (!connected.isEmpty()) {
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/CustomerAccess.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/CustomerAccess.java
@@ -13,7 +13,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Who may send requests through one entry host. Used on one event loop. */
+/**
+ * Authenticates customers at one entry host and gives access to their limits and allowances. Not
+ * thread-safe: confined to one event loop.
+ */
 final class CustomerAccess {
 
     private final KeyLease keyLease;
@@ -21,14 +24,15 @@
     private final AllowanceClient allowanceClient;
     private Customers currentCustomers = Customers.unrestricted();
 
-    /** Creates the gate of a host that knows no configuration yet. */
-    CustomerAccess(KeyLease trust, OutageAllowance outage, AllowanceClient allowances) {
-        this.keyLease = trust;
-        this.outageAllowance = outage;
-        this.allowanceClient = allowances;
+    /** Creates the access of a host without a configuration: unrestricted. */
+    CustomerAccess(
+            KeyLease keyLease, OutageAllowance outageAllowance, AllowanceClient allowanceClient) {
+        this.keyLease = keyLease;
+        this.outageAllowance = outageAllowance;
+        this.allowanceClient = allowanceClient;
     }
 
-    /** Puts the customers of a configuration into force. */
+    /** Activates the customers of a configuration. */
     void setCustomers(Customers next) {
         currentCustomers = next;
         long now = BootClock.nanos();
@@ -36,36 +40,36 @@
     }
 
     /**
-     * Notes that a quorum has confirmed the configuration in force.
+     * Records that a quorum has confirmed the active configuration, which renews the key lease.
      *
-     * @param askedAt when this host asked for it, on the process's clock in nanoseconds
+     * @param askedAt when this host requested the confirmation, in nanoseconds of {@code BootClock}
      */
     void recordConfirmation(long askedAt) {
         keyLease.renew(askedAt);
     }
 
-    /** Returns whether requests with keys can be taken, if any are needed. */
+    /** Returns whether keys can be verified, or none are required. */
     boolean isReady() {
         return !currentCustomers.keysRequired() || keyLease.isValid(BootClock.nanos());
     }
 
-    /** Returns how long ago a quorum confirmed the configuration in force. */
+    /** Returns the time since the last confirmation by a quorum was requested. */
     Duration confirmationAge() {
         return keyLease.age(BootClock.nanos());
     }
 
-    /** Judges whose request one is, by the keys that it carries. */
+    /** Authenticates a request on a route by the digests of its keys. */
     KeyAccess.Verdict authenticate(List<KeyDigest> keys, Route route) {
         return KeyAccess.authenticate(
                 currentCustomers, route.open(), keys, keyLease.isValid(BootClock.nanos()));
     }
 
-    /** Returns whether requests carry customers' keys, which no upstream is to see. */
+    /** Returns whether requests carry customer keys, which must not reach an upstream. */
     boolean keysRequired() {
         return currentCustomers.keysRequired();
     }
 
-    /** Returns the limit of a customer as it is now. */
+    /** Returns the limit of a customer in the active configuration. */
     Optional<CustomerLimit> limit(Customer customer) {
         return currentCustomers.findById(customer.id()).flatMap(Customer::limit);
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/DemandCounts.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/DemandCounts.java
@@ -7,7 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * Counts, by model and adapter, the requests that have come since the last report and that wait.
+ * Counts requests by model and adapter: arrivals since the last report, and requests that wait now.
+ * Ignores requests without a model.
  */
 final class DemandCounts {
 
@@ -39,12 +40,12 @@
         }
     }
 
-    /** Returns whether a request waits that the last report did not tell of. */
+    /** Returns whether a request has begun to wait since the last report. */
     boolean hasNewlyWaiting() {
         return newlyWaiting;
     }
 
-    /** Takes the counts since the last report; waiting requests are counted in each. */
+    /** Returns a report and resets the arrivals; waiting requests are included in every report. */
     DemandReport takeReport(String host, String zone) {
         newlyWaiting = false;
         DemandReport.Builder report = DemandReport.newBuilder().setHost(host).setZone(zone);
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryReporter.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryReporter.java
@@ -11,7 +11,10 @@
 import io.stackhall.server.settings.FleetSettings;
 import java.util.Map;
 
-/** What an entry host tells the control hosts of its own requests. What is nothing is told once. */
+/**
+ * Reports an entry host's own requests to its primary control host. An empty report is sent once,
+ * then omitted until there is something to report again.
+ */
 final class EntryReporter {
 
     private final FleetSettings settings;
@@ -21,13 +24,15 @@
     private final NothingOnce workReports = new NothingOnce();
     private final NothingOnce demandReports = new NothingOnce();
 
-    EntryReporter(FleetSettings settings, Gateway gateway, ControlSubscriber follower) {
+    EntryReporter(FleetSettings settings, Gateway gateway, ControlSubscriber controlSubscriber) {
         this.settings = settings;
         this.gateway = gateway;
-        this.controlSubscriber = follower;
+        this.controlSubscriber = controlSubscriber;
     }
 
-    /** Tells of the requests at each instance, if that is due. */
+    /**
+     * Reports the requests and unread prompt tokens at each instance, if the interval has passed.
+     */
     void reportWork() {
         long now = BootClock.nanos();
         if (now - lastWorkReportAt
@@ -45,7 +50,7 @@
         }
     }
 
-    /** Tells of the models that are asked for. */
+    /** Reports the demand for models: arrivals and waiting requests. */
     void reportDemand() {
         DemandReport report =
                 gateway.demand().takeReport(settings.peerName().value(), settings.zone().value());
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/EventAssembler.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/EventAssembler.java
@@ -6,8 +6,8 @@
 import java.util.OptionalLong;
 
 /**
- * Cuts the bytes of an event stream into whole events, so that a stream that breaks off within an
- * event can go on at the event after the last whole one.
+ * Splits the bytes of an event stream into complete events, so that a stream that breaks within an
+ * event can be resumed after the last complete one.
  */
 final class EventAssembler {
 
@@ -15,20 +15,25 @@
     private static final byte CARRIAGE_RETURN = '\r';
     private static final String ID_FIELD = "id:";
 
-    /** An event of 64 tokens has some hundred bytes. */
+    /** An event of 64 tokens has a few hundred bytes. */
     private static final int INITIAL_BYTES = 512;
 
     private ByteBuf pending = Unpooled.buffer(INITIAL_BYTES);
     private int scannedIndex;
 
-    /** One whole event, or what was left at the end of a stream. */
+    /**
+     * One complete event.
+     *
+     * @param bytes its bytes with the empty line at its end; owned by the receiver
+     * @param id the value of its id field, empty if absent or not a number
+     */
     record Event(ByteBuf bytes, OptionalLong id) {}
 
     void add(ByteBuf part) {
         pending.writeBytes(part);
     }
 
-    /** Takes out the next whole event, or null where none is whole yet. */
+    /** Removes and returns the next complete event, or null if none is complete yet. */
     Event next() {
         int end = findEventEnd();
         if (end < 0) {
@@ -40,19 +45,22 @@
         return new Event(bytes, parseId(bytes));
     }
 
-    /** Takes out everything that is left. */
+    /** Removes and returns all remaining bytes. */
     ByteBuf remaining() {
         scannedIndex = 0;
         return pending.readBytes(pending.readableBytes());
     }
 
-    /** Forgets an event that has broken off. */
+    /** Discards the bytes of an incomplete event. */
     void clear() {
         pending.clear();
         scannedIndex = 0;
     }
 
-    /** An event ends with an empty line; lines end with a line feed, with or without a return. */
+    /**
+     * Returns the index after the next event, or -1 if it is incomplete. An event ends with an
+     * empty line; lines end with a line feed, optionally preceded by a carriage return.
+     */
     private int findEventEnd() {
         int from = Math.max(pending.readerIndex(), scannedIndex);
         int feed = pending.indexOf(from, pending.writerIndex(), LINE_FEED);
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestAuthorization.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestAuthorization.java
@@ -13,18 +13,20 @@
 import java.util.Optional;
 
 /**
- * Whether one request may be run: whose it is, and its part of that customer's allowance. Both are
- * judged again at each send, since a key may go and a grant may be too old by then.
+ * Authorizes one request: authenticates its customer and claims its cost from the customer's
+ * allowance. Both are evaluated again before each send, since a key may have been revoked and a
+ * grant may have expired by then.
  */
 final class RequestAuthorization {
 
     /**
-     * A grant counts for the moment at which it was given; a request that waits longer asks anew,
-     * so that what waits together is not run together beyond its customer's limit.
+     * How long an unused grant may be used. A request that waits longer claims again, so that
+     * requests that were granted over a longer time and waited together do not run together beyond
+     * their customer's limit.
      */
     private static final Duration GRANT_VALIDITY = Duration.ofMillis(300);
 
-    /** Keys are confirmed every second. */
+    /** Retry delay while keys cannot be verified: keys are confirmed every second. */
     private static final Duration CONFIRMATION_INTERVAL = Duration.ofSeconds(1);
 
     private final CustomerAccess customerAccess;
@@ -37,68 +39,71 @@
     private double cost;
     private boolean closed;
 
-    /** What is known of the request's part of its customer's allowance. */
+    /** State of the claim on the customer's allowance. */
     private sealed interface Grant {
 
-        /** It was not asked for. */
+        /** The allowance has not been claimed. */
         record NotRequested() implements Grant {}
 
-        /** It was asked for. */
+        /** The allowance has been claimed and the decision is pending. */
         record Requested() implements Grant {}
 
-        /** It was given at a moment of the process's clock. */
+        /** The claim was granted, at a time in nanoseconds of {@link BootClock}. */
         record Granted(long grantedAt) implements Grant {}
 
-        /** It was refused. */
+        /** The claim was denied. */
         record Denied(Duration retryAfter) implements Grant {}
 
-        /** The request has been sent with it. */
+        /** The grant was used to send the request. */
         record Used() implements Grant {}
     }
 
     /** Whether the request may be run now. */
     sealed interface Decision {
 
-        /** It may. */
+        /** It may be run. */
         record Allowed() implements Decision {}
 
-        /** Its customer's allowance has been asked. */
+        /** The decision on the customer's allowance is pending. */
         record Pending() implements Decision {}
 
         /**
-         * It may not.
+         * It must not be run.
          *
-         * @param retryAfter when it may be worth another try, if it ever is
+         * @param retryAfter the delay after which a retry may succeed, empty if none will
          */
         record Refused(HttpResponseStatus status, String reason, Optional<Duration> retryAfter)
                 implements Decision {}
     }
 
     /**
-     * Creates the rights of a request that were not judged yet.
+     * Creates the authorization of a request, not evaluated yet.
      *
-     * @param decided run when an answer has come for which the request had to wait
+     * @param onDecision run when a pending decision has been received
      */
     RequestAuthorization(
-            CustomerAccess gate, CallerRequest request, Route route, Runnable decided) {
-        this.customerAccess = gate;
+            CustomerAccess customerAccess,
+            CallerRequest request,
+            Route route,
+            Runnable onDecision) {
+        this.customerAccess = customerAccess;
         this.request = request;
         this.keyDigests = request.keyDigests();
         this.route = route;
-        this.onDecision = decided;
+        this.onDecision = onDecision;
     }
 
-    /** Returns whose the request is, as it was judged last. */
+    /** Returns the customer found by the last evaluation. */
     Optional<Customer> customer() {
         return customer;
     }
 
-    /** Returns the rank of the request. */
+    /** Returns the rank of the request by its route and customer, 0 being the most urgent. */
     int rank() {
         return customer.map(one -> one.combinedRank(route.rank())).orElse(route.rank());
     }
 
-    /** Judges by the configuration in force, and asks for the allowance where that is needed. */
+    /** Evaluates the request by the active configuration, and claims the allowance if needed. */
     Decision evaluate() {
         return switch (customerAccess.authenticate(keyDigests, route)) {
             case KeyAccess.Verdict.Anyone() -> new Decision.Allowed();
@@ -136,15 +141,15 @@
     }
 
     /**
-     * Returns whether a request that was judged to be good may be sent this very moment; if its
-     * grant is too old, another is asked for.
+     * Returns whether an allowed request may be sent now; if its grant has expired, returns it and
+     * claims another.
      */
     boolean ensureFreshGrant() {
-        boolean old =
+        boolean expired =
                 grant instanceof Grant.Granted(long at)
                         && BootClock.nanos() - at >= GRANT_VALIDITY.toNanos();
         Optional<CustomerLimit> limit = customer.flatMap(customerAccess::limit);
-        if (!old || limit.isEmpty()) {
+        if (!expired || limit.isEmpty()) {
             return true;
         }
         requestGrant(customer.get(), limit.get(), cost);
@@ -170,7 +175,7 @@
         onDecision.run();
     }
 
-    /** The request has ended before its grant came. */
+    /** Returns a grant that has arrived after the end of the request. */
     private void returnLateGrant(AllowanceVerdict verdict) {
         if (verdict instanceof AllowanceVerdict.Granted) {
             customer.ifPresent(
@@ -178,7 +183,7 @@
         }
     }
 
-    /** The request is sent to an upstream. */
+    /** Marks the grant as used, when the request is sent to an upstream. */
     void useGrant() {
         if (grant instanceof Grant.Granted) {
             grant = new Grant.Used();
@@ -186,13 +191,13 @@
     }
 
     /**
-     * The request has ended.
+     * Ends the authorization with its request, and returns an unused grant to the allowance.
      *
-     * @param run whether an upstream may have run it
+     * @param run whether an upstream may have run the request
      */
     void close(boolean run) {
-        boolean held = grant instanceof Grant.Granted || grant instanceof Grant.Used;
-        if (held && !run) {
+        boolean granted = grant instanceof Grant.Granted || grant instanceof Grant.Used;
+        if (granted && !run) {
             customer.ifPresent(
                     holder -> customerAccess.allowanceClient().returnUnused(holder, cost));
         }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestDeadlines.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestDeadlines.java
@@ -8,35 +8,37 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Until when what is of use to one request's caller. All moments are of the monotonic clock, in
- * nanoseconds.
+ * The deadlines of one request. All times are in nanoseconds of {@code BootClock}.
  *
- * @param arrivedAt when its head had arrived
- * @param deadlineAt until when an answer is of use
- * @param route what the operator allows it
+ * @param arrivedAt when its head had been received
+ * @param deadlineAt when the caller's or the route's timeout ends
+ * @param route its route, which holds the configured timeouts and objective
  */
 record RequestDeadlines(long arrivedAt, long deadlineAt, Route route) {
 
-    /** A streamed answer that begins this close to the end of its caller's time comes too late. */
+    /** A streamed answer that begins less than this before the caller's deadline is too late. */
     private static final Duration MIN_STREAM_TIME = Duration.ofMillis(350);
 
     /** A plain answer takes some ten milliseconds. */
     private static final Duration MIN_PLAIN_TIME = Duration.ofMillis(40);
 
-    /** An idle engine brings the first event within 35 to 50 ms of an objective of 400 (median). */
+    /**
+     * Share of the latency objective, as its divisor, that an idle engine needs for the first
+     * event: a median of 35 to 50 ms at an objective of 400 ms.
+     */
     private static final int MIN_ANSWER_TIME_DIVISOR = 8;
 
-    /** Returns the times of a request on a route: it ends with its caller's or the route's time. */
+    /** Returns the deadlines of a request: the earlier of its caller's and the route's timeout. */
     static RequestDeadlines of(CallerRequest request, Route route) {
         long allowed = route.timeout().toNanos();
-        OptionalLong told = request.deadlineMillis();
-        if (told.isPresent()) {
-            allowed = Math.min(allowed, TimeUnit.MILLISECONDS.toNanos(told.getAsLong()));
+        OptionalLong requested = request.deadlineMillis();
+        if (requested.isPresent()) {
+            allowed = Math.min(allowed, TimeUnit.MILLISECONDS.toNanos(requested.getAsLong()));
         }
         return new RequestDeadlines(request.arrivedAt(), request.arrivedAt() + allowed, route);
     }
 
-    /** Returns what is left of the objective; nothing where an answer can only be late. */
+    /** Returns the time left of the latency objective, zero if it can no longer be met. */
     Duration remainingObjective(long now) {
         return isLate(now)
                 ? Duration.ZERO
@@ -44,8 +46,8 @@
     }
 
     /**
-     * Returns whether an answer can only be late: what is left of the objective is less than an
-     * engine that has nothing else to do needs for its first event.
+     * Returns whether the latency objective can no longer be met: the time left is less than an
+     * idle engine needs for its first event.
      */
     boolean isLate(long now) {
         return now - latestOnTimeStart() > 0;
@@ -57,15 +59,16 @@
     }
 
     /**
-     * Returns the admission of the request that has just come or begun to wait again. A caller
-     * whose time is not over may leave before, for want of an event.
+     * Returns the admission of a request that has just arrived or has begun to wait again. The
+     * caller of a stream may disconnect before its deadline if it receives no event for the caller
+     * timeout.
      *
-     * @param lastEventAt when its caller got an event last, or when the request came
+     * @param lastEventAt when the caller last received an event, or the request's arrival
      */
     Admission admission(long lastEventAt) {
         boolean stream = route.kind() == RouteKind.STREAM;
-        long leaves = lastEventAt + route.callerTimeout().toNanos();
-        long end = stream && leaves - deadlineAt < 0 ? leaves : deadlineAt;
+        long callerTimeoutAt = lastEventAt + route.callerTimeout().toNanos();
+        long end = stream && callerTimeoutAt - deadlineAt < 0 ? callerTimeoutAt : deadlineAt;
         long latest = end - (stream ? MIN_STREAM_TIME : MIN_PLAIN_TIME).toNanos();
         return new Admission(latest, latestOnTimeStart());
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestDecoder.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestDecoder.java
@@ -7,7 +7,10 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.stackhall.core.route.CallerLimits;
 
-/** Decodes callers' requests; one whose length can be read in two ways is no request. */
+/**
+ * Decodes callers' requests. Rejects a request with both a length and a chunked encoding, whose end
+ * is ambiguous.
+ */
 final class RequestDecoder extends HttpRequestDecoder {
 
     private static final int MAX_CHUNK_BYTES = 64 << 10;
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestTimer.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestTimer.java
@@ -5,7 +5,7 @@
 import io.stackhall.server.clock.BootClock;
 import java.util.concurrent.TimeUnit;
 
-/** Tells one request that its time has passed. Used on the event loop. */
+/** Runs a task of one request at a given time. Confined to the event loop. */
 final class RequestTimer {
 
     private final EventLoop loop;
@@ -17,13 +17,13 @@
         this.task = task;
     }
 
-    /** Runs the task at a moment of the monotonic clock in nanoseconds. */
-    void scheduleAt(long moment) {
-        long left = Math.max(0, moment - BootClock.nanos());
-        scheduled = loop.schedule(task, left, TimeUnit.NANOSECONDS);
+    /** Schedules the task for a time in nanoseconds of {@link BootClock}. */
+    void scheduleAt(long time) {
+        long delay = Math.max(0, time - BootClock.nanos());
+        scheduled = loop.schedule(task, delay, TimeUnit.NANOSECONDS);
     }
 
-    /** Does not run it. */
+    /** Cancels the scheduled run, if any. */
     void cancel() {
         if (scheduled != null) {
             scheduled.cancel(false);
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestsAwaitingRoutes.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestsAwaitingRoutes.java
@@ -9,44 +9,48 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The requests that have come before this host knows any routes.
+ * Holds requests that arrive before this host has its first routes.
  *
- * <p>Routes come soon after a start. While hosts that had all lost power refused whatever came
- * before, 108 requests of one day were refused twice each within 1.7 s.
+ * <p>Routes arrive soon after a start, so waiting for them is better than refusing: when all hosts
+ * restarted after a power loss and refused requests until then, 108 requests in one day were
+ * refused twice each within 1.7 s.
  */
 final class RequestsAwaitingRoutes {
 
-    /** From a host's start to confirmed routes, where all hosts start at once. */
+    /** Time from a host's start to confirmed routes when all hosts start at once. */
     private static final Duration EXPECTED_START_TIME = Duration.ofMillis(1500);
 
-    /** Before its route is known, a request waits for no longer than any caller stays. */
+    /**
+     * Maximum wait while the route, and with it the caller's timeout, is unknown: no longer than
+     * any caller stays connected.
+     */
     private static final Duration MAX_WAIT = Duration.ofSeconds(2);
 
-    /** Left for the request itself, once the routes are known. */
+    /** Time reserved for running the request once the routes are known. */
     private static final Duration MIN_PROCESSING_TIME = Duration.ofMillis(350);
 
-    /** Where routes are overdue, no control host can be reached. */
+    /** Retry delay once the routes are overdue, which means that no control host is reachable. */
     private static final Duration OVERDUE_RETRY_AFTER = Duration.ofSeconds(1);
 
     private final long expectedAt = BootClock.nanos() + EXPECTED_START_TIME.toNanos();
     private final Set<RelayedRequest> waiting = new LinkedHashSet<>();
 
-    /** Returns until when a request may wait, on the monotonic clock in nanoseconds. */
+    /** Returns when a request has to stop waiting, in nanoseconds of {@link BootClock}. */
     long waitDeadline(CallerRequest request) {
-        long patience = MAX_WAIT.toNanos();
-        OptionalLong told = request.deadlineMillis();
-        if (told.isPresent()) {
-            patience = Math.min(patience, TimeUnit.MILLISECONDS.toNanos(told.getAsLong()));
+        long maxWait = MAX_WAIT.toNanos();
+        OptionalLong requested = request.deadlineMillis();
+        if (requested.isPresent()) {
+            maxWait = Math.min(maxWait, TimeUnit.MILLISECONDS.toNanos(requested.getAsLong()));
         }
-        return request.arrivedAt() + patience - MIN_PROCESSING_TIME.toNanos();
+        return request.arrivedAt() + maxWait - MIN_PROCESSING_TIME.toNanos();
     }
 
-    /** Returns whether the routes should come in time for a request. */
+    /** Returns whether the routes are expected in time for a request. */
     boolean shouldWait(CallerRequest request, long now) {
         return expectedAt - now > 0 && expectedAt - waitDeadline(request) <= 0;
     }
 
-    /** Returns after which time a request that does not wait is worth another try. */
+    /** Returns the delay after which a refused request should be retried. */
     Duration retryAfter(long now) {
         return expectedAt - now > 0 ? Duration.ofNanos(expectedAt - now) : OVERDUE_RETRY_AFTER;
     }
@@ -59,7 +63,7 @@
         waiting.remove(request);
     }
 
-    /** Lets every request go on: the routes are known, or this host is about to stop. */
+    /** Restarts every waiting request, because routes are known or this host is about to stop. */
     void resumeAll() {
         List<RelayedRequest> all = List.copyOf(waiting);
         waiting.clear();
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RoutesUpdater.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RoutesUpdater.java
@@ -16,20 +16,23 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Keeps the newest configuration that control hosts have told an entry host, and puts it into force
- * once it may be obeyed. Used on one event loop.
+ * Holds the newest configuration that an entry host has received from control hosts, and activates
+ * its routes once a quorum has confirmed it or the wait for that has timed out. Not thread-safe:
+ * confined to one event loop.
  */
 final class RoutesUpdater {
 
     private static final Logger logger = LogManager.getLogger(RoutesUpdater.class);
 
     /**
-     * After this long without a quorum's word, routes that any control host holds are better than
-     * none: a zone that is cut off goes on serving.
+     * Maximum wait for a quorum's confirmation. After it, unconfirmed routes from any control host
+     * are better than none: a partitioned zone keeps serving.
      */
     private static final Duration UNCONFIRMED_WAIT = Duration.ofSeconds(4);
 
-    /** The primary tells within some milliseconds; routes have to be in force within seconds. */
+    /**
+     * The primary sends routes within some milliseconds; routes have to be active within seconds.
+     */
     private static final long ROUTES_TIMEOUT_MILLIS = 250;
 
     private final EventLoop loop;
@@ -41,27 +44,27 @@
     private boolean activationScheduled;
 
     /**
-     * Creates one that holds no configuration.
+     * Creates an updater that holds no configuration.
      *
-     * @param askForRoutes asks some control host for the whole of the newest configuration
+     * @param requestRoutes requests the complete newest configuration from some control host
      */
-    RoutesUpdater(EventLoop loop, Gateway gateway, Runnable askForRoutes) {
+    RoutesUpdater(EventLoop loop, Gateway gateway, Runnable requestRoutes) {
         this.loop = loop;
         this.gateway = gateway;
-        this.requestRoutes = askForRoutes;
+        this.requestRoutes = requestRoutes;
     }
 
-    /** Returns the version that this host holds, negative where there is none. */
+    /** Returns the version of the held configuration, negative if there is none. */
     long heldVersion() {
         return confirmation.held();
     }
 
-    /** Returns whether a quorum has yet to name the newest configuration. */
+    /** Returns whether no quorum has confirmed the newest version yet. */
     boolean wantsConfirmation() {
         return !confirmation.isConfirmed();
     }
 
-    /** Takes in what a control host tells. */
+    /** Handles an update from a control host. */
     void receive(RoutesUpdate update) {
         long now = BootClock.nanos();
         confirmation.reported(update.getVersion(), now);
@@ -78,7 +81,7 @@
         }
     }
 
-    /** Puts the configuration that is held into force if it may be obeyed by now. */
+    /** Activates the held configuration if it is confirmed or has waited long enough. */
     void activateIfAllowed() {
         activationScheduled = false;
         if (!confirmation.mayActivate(activeVersion(), BootClock.nanos())) {
@@ -115,8 +118,9 @@
     }
 
     /**
-     * Looks once what has arrived by now is taken in: of several configurations in a row only the
-     * last is worth decoding, which takes a slow host longer than the next one takes to come.
+     * Schedules the activation after the updates that have already arrived: of several
+     * configurations in a row only the last is worth decoding, and on a slow host decoding takes
+     * longer than the next one takes to arrive.
      */
     private void scheduleActivation() {
         if (!activationScheduled) {
@@ -151,9 +155,9 @@
     }
 
     /**
-     * What the primary does not tell soon is asked of any control host, until one tells it. What
-     * was heard of since then has its own time: where changes follow each other closely, something
-     * is always on its way.
+     * Requests the awaited version from any control host if the primary has not sent it in time,
+     * and repeats that until one sends it. Versions reported since then get a timeout of their own:
+     * when changes follow each other closely, an update is always on its way.
      */
     private void handleOverdue(long awaited) {
         awaitingRoutes = false;
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/StreamedAnswer.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/StreamedAnswer.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.OptionalLong;
 
-/** An event stream on its way to a caller, perhaps from one instance after another. */
+/** Forwards an event stream to a caller; several instances in turn may supply its events. */
 final class StreamedAnswer {
 
     private final AnswerWriter writer;
@@ -12,28 +12,28 @@
     private boolean started;
     private OptionalLong lastEventId = OptionalLong.empty();
 
-    StreamedAnswer(AnswerWriter answers, RequestLog log) {
-        this.writer = answers;
+    StreamedAnswer(AnswerWriter writer, RequestLog log) {
+        this.writer = writer;
         this.log = log;
     }
 
-    /** Returns whether the caller has got any of it. */
+    /** Returns whether any part of the answer has been written to the caller. */
     boolean hasBegun() {
         return started;
     }
 
-    /** Returns the last event that the caller has got. */
+    /** Returns the id of the last event written to the caller. */
     OptionalLong lastEventId() {
         return lastEventId;
     }
 
-    /** Passes an event on, unless the caller has got it already from an earlier instance. */
+    /** Forwards an event, unless an earlier instance has already supplied it. */
     void forwardEvent(HttpResponse head, EventAssembler.Event event) {
-        boolean old =
+        boolean duplicate =
                 event.id().isPresent()
                         && lastEventId.isPresent()
                         && event.id().getAsLong() <= lastEventId.getAsLong();
-        if (old) {
+        if (duplicate) {
             event.bytes().release();
             return;
         }
@@ -43,7 +43,9 @@
         forwardBytes(head, event.bytes());
     }
 
-    /** Passes on what is no event; the head of the first instance stands for all. */
+    /**
+     * Forwards bytes; the first instance's head is written before them, later heads are ignored.
+     */
     void forwardBytes(HttpResponse head, ByteBuf bytes) {
         if (!started) {
             started = true;
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamAnnouncements.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamAnnouncements.java
@@ -18,8 +18,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Takes in what upstreams say of themselves in the heads of their answers to one entry host. Used
- * on one event loop.
+ * Handles what upstreams announce about themselves in the heads of their answers to one entry host:
+ * limits, rests (Retry-After) and their leaving. Not thread-safe: confined to one event loop.
  */
 final class UpstreamAnnouncements {
 
@@ -39,15 +39,15 @@
         this.notices = notices;
     }
 
-    /** Has somebody told, at once, when an instance says that it leaves. */
+    /** Sets the listener that is called when an instance first announces that it is leaving. */
     void setLeavingListener(Consumer<UpstreamId> listener) {
         leavingListener = listener;
     }
 
     /**
-     * Takes in the head of an answer.
+     * Handles the head of an answer.
      *
-     * @param basis what was known of the upstream's limit when the request was sent
+     * @param basis the revision of the upstream's limit when the request was sent
      */
     void receive(UpstreamId id, HttpResponse head, LimitRevision basis) {
         limits.readLimit(id, head, basis);
@@ -61,12 +61,14 @@
         }
     }
 
-    /** Returns who leaves, for a control host that may know it from nobody else. */
+    /**
+     * Returns notices of all leaving instances, for a control host that may have no other source.
+     */
     List<Frame> leavingFrames() {
         return leaving.stream().map(notices::leavingFrame).toList();
     }
 
-    /** Forgets an instance that is gone. */
+    /** Removes the state of an instance that is gone. */
     void forget(UpstreamId id) {
         limits.forget(id);
         leaving.remove(id);
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamLimitClient.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamLimitClient.java
@@ -25,17 +25,20 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Tells the leader of the control group which limits upstreams name to one entry host, and asks it
- * for permits to send to them. Used on one event loop.
+ * Reports to the leader of the control group the rate limits that upstreams announce to one entry
+ * host, and requests permits from it to send to them. Not thread-safe: confined to one event loop.
  */
 final class UpstreamLimitClient {
 
     private static final Logger logger = LogManager.getLogger(UpstreamLimitClient.class);
 
-    /** Between two looks at what is due, beside what requests bring up themselves. */
+    /** Interval of the checks for due messages, besides those that requests trigger. */
     private static final long CHECK_INTERVAL_MILLIS = 50;
 
-    /** A leader answers within some milliseconds; once it does not, all control hosts are asked. */
+    /**
+     * A leader answers within some milliseconds; after this time without an answer, permits are
+     * requested from all control hosts.
+     */
     private static final long LEADER_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
     private final HostId self;
@@ -53,16 +56,19 @@
             HostId self,
             EventLoop loop,
             LimitedUpstreams limits,
-            ControlHostConnections way,
+            ControlHostConnections controlHosts,
             FleetMetrics metrics) {
         this.self = self;
         this.loop = loop;
         this.limits = limits;
-        this.controlHosts = way;
+        this.controlHosts = controlHosts;
         this.metrics = metrics;
     }
 
-    /** Returns what is known of an instance's limit as a request is sent to it. */
+    /**
+     * Records that a request is sent, and returns the revision of the instance's limit at that
+     * time.
+     */
     LimitRevision recordSent(UpstreamId id) {
         if (limits.limit(id).isPresent()) {
             metrics.limitedRequest("sent");
@@ -71,9 +77,9 @@
     }
 
     /**
-     * Takes in the head of an answer.
+     * Reads the limit from the head of an answer.
      *
-     * @param basis what was known of the limit when the request was sent
+     * @param basis the revision of the limit when the request was sent
      */
     void readLimit(UpstreamId id, HttpResponse head, LimitRevision basis) {
         AnswerHeaders.limit(head.headers()::get)
@@ -90,7 +96,7 @@
         OptionalDouble before = limits.limit(id);
         limits.observe(id, limit, basis, BootClock.nanos())
                 .ifPresent(
-                        heard -> {
+                        observation -> {
                             logger.info(
                                     "upstream.limit-heard id={} perSecond={} before={} term={}"
                                             + " count={}",
@@ -99,37 +105,39 @@
                                     LimitUpdate.text(before),
                                     basis.term(),
                                     basis.sequence());
-                            publishObservation(heard);
+                            publishObservation(observation);
                             schedulePeriodicCheck();
                         });
     }
 
-    /** Takes in what the leader says of limits, and returns whether it changes anything. */
-    boolean receiveUpdates(LimitWords words) {
+    /** Applies limit updates from the leader, and returns whether any limit has changed. */
+    boolean receiveUpdates(LimitWords updates) {
         boolean changed = false;
-        for (LimitUpdate word : LimitCodec.words(words)) {
-            if (limits.receive(word)) {
+        for (LimitUpdate update : LimitCodec.words(updates)) {
+            if (limits.receive(update)) {
                 changed = true;
-                logger.info("upstream.limit-in-force {}", word.fields());
+                logger.info("upstream.limit-in-force {}", update.fields());
             }
         }
         schedulePeriodicCheck();
         return changed;
     }
 
-    /** Takes in an answer of the leader, and returns whether a request may be sent. */
+    /**
+     * Handles the leader's answer to permit requests, and returns whether a request may be sent.
+     */
     boolean receivePermitReply(PermitReply reply) {
         leader = Optional.of(new HostId(reply.getLeader()));
         leaderAnsweredAt = BootClock.nanos();
         return limits.receiveAnswer(LimitCodec.answer(self, reply), leaderAnsweredAt);
     }
 
-    /** All requests that wait are about to be looked at anew. */
+    /** Resets the count of waiting requests, before all of them are tried again. */
     void resetWaiting() {
         limits.resetWaiting();
     }
 
-    /** Has what requests want asked for at once. */
+    /** Schedules a check as the next task of the event loop, if there are limits. */
     void scheduleCheck() {
         if (!checkScheduled && limits.size() > 0) {
             checkScheduled = true;
@@ -141,7 +149,7 @@
         }
     }
 
-    /** Looks again and again while there are limits; without any, no timer wakes this host. */
+    /** Schedules periodic checks while there are limits; without any, no timer wakes this host. */
     private void schedulePeriodicCheck() {
         if (!periodicCheckScheduled && limits.size() > 0) {
             periodicCheckScheduled = true;
@@ -160,30 +168,32 @@
 
     private void check() {
         long now = BootClock.nanos();
-        for (PermitRequest want : limits.dueRequests(now)) {
-            sendPermitRequest(LimitCodec.ask(want, limits.latestUpdate(want.upstream())), now);
+        for (PermitRequest request : limits.dueRequests(now)) {
+            sendPermitRequest(
+                    LimitCodec.ask(request, limits.latestUpdate(request.upstream())), now);
         }
         limits.dueObservations(now).forEach(this::publishObservation);
     }
 
     private void sendPermitRequest(Frame frame, long now) {
-        boolean answers = now - leaderAnsweredAt < LEADER_TIMEOUT_NANOS;
-        boolean sent = answers && leader.filter(host -> controlHosts.send(host, frame)).isPresent();
+        boolean leaderAnswers = now - leaderAnsweredAt < LEADER_TIMEOUT_NANOS;
+        boolean sent =
+                leaderAnswers && leader.filter(host -> controlHosts.send(host, frame)).isPresent();
         if (!sent) {
             controlHosts.sendToAll(frame);
         }
     }
 
-    private void publishObservation(LimitObservation heard) {
-        controlHosts.sendToAll(LimitCodec.heard(self, heard));
+    private void publishObservation(LimitObservation observation) {
+        controlHosts.sendToAll(LimitCodec.heard(self, observation));
     }
 
-    /** Forgets an instance that is gone. */
+    /** Removes the state of an instance that is gone. */
     void forget(UpstreamId id) {
         unreadable.remove(id);
     }
 
-    /** Brings the measures of the present state up to date. */
+    /** Updates the gauge of limited upstreams. */
     void measure() {
         metrics.state("limited_upstreams", limits.size());
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamRequestFactory.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamRequestFactory.java
@@ -13,11 +13,12 @@
 import java.util.OptionalLong;
 
 /**
- * Makes what an instance gets of a caller's request: the same, but for one connection's headers and
- * those that only the system may send.
+ * Creates the request that an instance receives: a copy of the caller's request without hop-by-hop
+ * headers and without headers that only stackhall may set.
  */
 final class UpstreamRequestFactory {
 
+    /** The largest value of the priority header; 0 is the most urgent. */
     private static final int LEAST_URGENT = 9;
 
     private UpstreamRequestFactory() {}
@@ -25,19 +26,19 @@
     /**
      * Returns the request for an instance.
      *
-     * @param customer whose request it is, told to the instance in place of the key
-     * @param keysNeeded whether requests carry keys, which the instance is not to see
-     * @param leftMillis how long the instance may work on it
-     * @param lastEvent the last event that the caller holds of a stream that broke off
+     * @param customer the authenticated customer, sent to the instance in place of the key
+     * @param keysRequired whether requests carry customer keys, which are removed
+     * @param remainingMillis the time that the instance has to run it; at least 1 ms is sent
+     * @param lastEventId the id of the last event that the caller has received of a broken stream
      */
     static FullHttpRequest create(
             CallerRequest request,
             Need need,
             Instance instance,
             Optional<Customer> customer,
-            boolean keysNeeded,
-            long leftMillis,
-            OptionalLong lastEvent) {
+            boolean keysRequired,
+            long remainingMillis,
+            OptionalLong lastEventId) {
         FullHttpRequest copy =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
@@ -46,7 +47,7 @@
                         Unpooled.wrappedBuffer(request.body()));
         Answers.copyHeaders(request.headers(), copy.headers());
         Headers.SYSTEM_ONLY.forEach(copy.headers()::remove);
-        if (keysNeeded) {
+        if (keysRequired) {
             copy.headers().remove(Headers.AUTHORIZATION);
         }
         customer.ifPresent(one -> copy.headers().set(Headers.CUSTOMER, one.id().value()));
@@ -57,14 +58,14 @@
         if (hasBody) {
             copy.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
         }
-        copy.headers().set(Headers.DEADLINE_MILLIS, Long.toString(Math.max(1, leftMillis)));
+        copy.headers().set(Headers.DEADLINE_MILLIS, Long.toString(Math.max(1, remainingMillis)));
         copy.headers().set(Headers.EXPECTED_INSTANCE, instance.id().value());
         if (need.model().isPresent()) {
             int urgency = Math.min(LEAST_URGENT, need.rank());
             copy.headers().set(Headers.PRIORITY, Integer.toString(urgency));
         }
-        if (lastEvent.isPresent()) {
-            copy.headers().set(Headers.LAST_EVENT_ID, Long.toString(lastEvent.getAsLong()));
+        if (lastEventId.isPresent()) {
+            copy.headers().set(Headers.LAST_EVENT_ID, Long.toString(lastEventId.getAsLong()));
         }
         return copy;
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/WaitingRequests.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/WaitingRequests.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 
 /**
- * The requests that wait for an instance: what can still be in time before what can only be late,
- * then the most urgent first, then the one with least time.
+ * Queue of the requests that wait for an instance. Requests that can still meet their latency
+ * objective come first, then the most urgent ones, then those with the earliest deadline.
  *
- * <p>Under an overload that lasts, an order by rank and age alone keeps every request waiting until
- * it is late: of 134 requests for one model within two seconds none was in time (one day of
- * trouble, from the log).
+ * <p>Under a lasting overload, an order by rank and age alone keeps every request waiting until it
+ * is late: in one incident, none of 134 requests for one model within two seconds was in time, by
+ * the log.
  */
 final class WaitingRequests {
 
@@ -22,12 +22,12 @@
     private boolean retrying;
 
     /**
-     * Creates a line in which nobody waits.
+     * Creates an empty queue.
      *
-     * @param beforeAll run before all that wait are tried anew
+     * @param beforeRetry run before all waiting requests are tried again
      */
-    WaitingRequests(Runnable beforeAll) {
-        this.beforeRetry = beforeAll;
+    WaitingRequests(Runnable beforeRetry) {
+        this.beforeRetry = beforeRetry;
     }
 
     void add(RelayedRequest request) {
@@ -46,13 +46,16 @@
         return requests.isEmpty();
     }
 
-    /** Returns how many requests for the same model come before one, which need not wait yet. */
+    /**
+     * Returns how many requests for the same model are served before one, which need not be in the
+     * queue itself.
+     */
     int countAhead(RelayedRequest request) {
         int count = 0;
         Comparator<RelayedRequest> order = servingOrder(BootClock.nanos());
         for (RelayedRequest other : requests) {
-            boolean same = other.need().model().equals(request.need().model());
-            if (same && other != request && order.compare(other, request) < 0) {
+            boolean sameModel = other.need().model().equals(request.need().model());
+            if (sameModel && other != request && order.compare(other, request) < 0) {
                 count++;
             }
         }
@@ -65,7 +68,7 @@
                 .thenComparingLong(RelayedRequest::deadlineAt);
     }
 
-    /** Tries each once; a request that is sent or refused leaves. */
+    /** Tries each request once, in order; one that is sent or refused leaves the queue. */
     void retryAll() {
         if (retrying || requests.isEmpty()) {
             return;
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/package-info.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/package-info.java
@@ -1,2 +1,5 @@
-/** An entry host: callers' requests passed through to upstreams, streams kept whole across them. */
+/**
+ * An entry host: relays callers' requests to upstreams, and resumes a broken event stream at
+ * another instance.
+ */
 package io.stackhall.server.gateway;
--- a/stackhall-server/src/test/java/io/stackhall/server/gateway/EventAssemblerProperties.java
+++ b/stackhall-server/src/test/java/io/stackhall/server/gateway/EventAssemblerProperties.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** However the bytes of a stream are cut, the same events come out. */
+/** Checks that the events of a stream do not depend on how its bytes are split into chunks. */
 class EventAssemblerProperties {
 
     @Property(tries = 300)
@@ -26,28 +26,28 @@
         String rest = random.nextBoolean() ? "id: 99\ndata" : "";
         byte[] bytes = (String.join("", events) + rest).getBytes(StandardCharsets.UTF_8);
         EventAssembler assembler = new EventAssembler();
-        List<String> seen = new ArrayList<>();
+        List<String> received = new ArrayList<>();
         List<Long> ids = new ArrayList<>();
-        int at = 0;
-        while (at < bytes.length) {
-            int size = Math.min(bytes.length - at, 1 + random.nextInt(9));
-            assembler.add(Unpooled.wrappedBuffer(bytes, at, size));
-            at += size;
+        int offset = 0;
+        while (offset < bytes.length) {
+            int size = Math.min(bytes.length - offset, 1 + random.nextInt(9));
+            assembler.add(Unpooled.wrappedBuffer(bytes, offset, size));
+            offset += size;
             EventAssembler.Event event = assembler.next();
             while (event != null) {
-                seen.add(event.bytes().toString(StandardCharsets.UTF_8));
+                received.add(event.bytes().toString(StandardCharsets.UTF_8));
                 ids.add(event.id().orElse(-1));
                 event = assembler.next();
             }
         }
-        assertThat(seen).isEqualTo(events);
+        assertThat(received).isEqualTo(events);
         assertThat(ids).hasSize(events.size()).startsWith(1L);
-        ByteBuf left = assembler.remaining();
-        assertThat(left.toString(StandardCharsets.UTF_8)).isEqualTo(rest);
+        ByteBuf remaining = assembler.remaining();
+        assertThat(remaining.toString(StandardCharsets.UTF_8)).isEqualTo(rest);
     }
 
     @Property(tries = 1)
-    void eventWithoutAnIdHasNone() {
+    void eventWithoutIdFieldHasNoId() {
         EventAssembler assembler = new EventAssembler();
         assembler.add(Unpooled.copiedBuffer("data: x\n\n", StandardCharsets.UTF_8));
         assertThat(assembler.next().id()).isEqualTo(OptionalLong.empty());
--- a/stackhall-server/src/test/java/io/stackhall/server/gateway/RequestAuthorizationTest.java
+++ b/stackhall-server/src/test/java/io/stackhall/server/gateway/RequestAuthorizationTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What one request asks of its customer's allowance while it waits, is sent and ends. */
+/** Checks which allowance one request claims and returns while it waits, is sent and ends. */
 class RequestAuthorizationTest {
 
     private static final HostId LEADER = new HostId("10.0.0.1:7400");
@@ -50,7 +50,7 @@
     private CustomerAccess customerAccess;
     private AllowanceClient client;
 
-    /** Takes down what it is asked, and answers when a test says so. */
+    /** Records the claims that it receives; {@link #answerAll} grants them. */
     private static final class FakeLeader implements ControlHostConnections {
         private final List<AllowanceClaim> claims = new ArrayList<>();
 
@@ -82,27 +82,27 @@
 
     @Test
     void waitingRequestClaimsOnceAndAgainOnlyBeforeSending() throws Exception {
-        RequestAuthorization rights = authorization();
-        assertThat(evaluate(rights)).isInstanceOf(Decision.Pending.class);
+        RequestAuthorization authorization = authorization();
+        assertThat(evaluate(authorization)).isInstanceOf(Decision.Pending.class);
         answerAll();
-        for (int look = 0; look < 16; look++) {
-            assertThat(evaluate(rights)).isInstanceOf(Decision.Allowed.class);
+        for (int evaluation = 0; evaluation < 16; evaluation++) {
+            assertThat(evaluate(authorization)).isInstanceOf(Decision.Allowed.class);
             TimeUnit.MILLISECONDS.sleep(25);
         }
         assertThat(fakeLeader.claims).hasSize(1);
-        assertThat(loop.submit(rights::ensureFreshGrant).get()).isFalse();
+        assertThat(loop.submit(authorization::ensureFreshGrant).get()).isFalse();
         settle();
         assertThat(fakeLeader.claims).hasSize(2);
         assertThat(fakeLeader.claims.getLast().getReturned()).isEqualTo(7);
         answerAll();
-        assertThat(loop.submit(rights::ensureFreshGrant).get()).isTrue();
+        assertThat(loop.submit(authorization::ensureFreshGrant).get()).isTrue();
     }
 
     @Test
     void grantAfterRequestEndIsReturned() throws Exception {
-        RequestAuthorization rights = authorization();
-        evaluate(rights);
-        loop.submit(() -> rights.close(false)).get();
+        RequestAuthorization authorization = authorization();
+        evaluate(authorization);
+        loop.submit(() -> authorization.close(false)).get();
         answerAll();
         assertThat(fakeLeader.claims).hasSize(2);
         assertThat(fakeLeader.claims.getLast().getNumber()).isZero();
@@ -111,22 +111,22 @@
 
     @Test
     void allowanceOfSentButNotRunRequestIsReturned() throws Exception {
-        RequestAuthorization rights = authorization();
-        evaluate(rights);
+        RequestAuthorization authorization = authorization();
+        evaluate(authorization);
         answerAll();
-        loop.submit(rights::useGrant).get();
-        loop.submit(() -> rights.close(false)).get();
+        loop.submit(authorization::useGrant).get();
+        loop.submit(() -> authorization.close(false)).get();
         settle();
         assertThat(fakeLeader.claims.getLast().getReturned()).isEqualTo(7);
     }
 
-    private Decision evaluate(RequestAuthorization rights) throws Exception {
-        Decision right = loop.submit(rights::evaluate).get();
+    private Decision evaluate(RequestAuthorization authorization) throws Exception {
+        Decision decision = loop.submit(authorization::evaluate).get();
         settle();
-        return right;
+        return decision;
     }
 
-    /** Lets run what the loop was given meanwhile. */
+    /** Waits until the tasks submitted to the event loop so far have run. */
     private void settle() throws Exception {
         loop.submit(() -> {}).get();
     }
--- a/stackhall-server/src/test/java/io/stackhall/server/gateway/RequestDeadlinesTest.java
+++ b/stackhall-server/src/test/java/io/stackhall/server/gateway/RequestDeadlinesTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Until when an answer is of use. */
+/** Checks from when on a request can no longer meet its latency objective. */
 class RequestDeadlinesTest {
 
     private static final long ARRIVED = Duration.ofSeconds(7).toNanos();
--- a/stackhall-server/src/test/java/io/stackhall/server/gateway/package-info.java
+++ b/stackhall-server/src/test/java/io/stackhall/server/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of parts of an entry host that need no network. */
+/** Tests of the parts of an entry host that need no network. */
 package io.stackhall.server.gateway;
