--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/AllowanceClient.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/AllowanceClient.java
@@ -24,69 +24,85 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Asks the leader of the control group what customers may have run, several requests at a time.
- * While it does not answer, this host decides by its share for outages. Used on one event loop.
+ * Claims customers' allowances for requests from the leader of the control group, several claims in
+ * one message. While the leader does not answer, this host decides from its share of the {@link
+ * OutageAllowance}. Not thread-safe: confined to one event loop.
  */
 final class AllowanceClient {
 
     private static final Logger logger = LogManager.getLogger(AllowanceClient.class);
 
-    /** A sound leader answers within some milliseconds; the shortest objectives are 120 ms. */
-    private static final Duration PATIENCE = Duration.ofMillis(100);
+    /**
+     * A healthy leader answers within some milliseconds; the shortest latency objectives are 120
+     * ms, and the local decision has to come before them.
+     */
+    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(100);
 
-    /** How often a leader that did not answer is asked whether it does again. */
-    private static final Duration PROBE = Duration.ofMillis(150);
+    /** Minimum time between two probes of a leader that has not answered. */
+    private static final Duration PROBE_INTERVAL = Duration.ofMillis(150);
 
     private final EventLoop loop;
-    private final ControlWay way;
-    private final OutageAllowance outage;
-    private final IntSupplier entryHosts;
-    private final Map<Long, Claim> claims = new LinkedHashMap<>();
+    private final ControlHostConnections controlHosts;
+    private final OutageAllowance outageAllowance;
+    private final IntSupplier entryHostCount;
+    private final Map<Long, PendingClaim> pendingClaims = new LinkedHashMap<>();
     private List<AllowanceClaim> unsent = new ArrayList<>();
     private Optional<HostId> leader = Optional.empty();
-    private long lastNumber;
-    private boolean silent;
-    private long probedAt;
+    private long lastClaimNumber;
+    private boolean leaderUnresponsive;
+    private long lastProbeAt;
 
-    /** A request whose decision is awaited. */
-    private record Claim(Customer customer, double cost, Consumer<AllowanceVerdict> decided) {}
+    /** A claim that has not been decided. */
+    private record PendingClaim(
+            Customer customer, double cost, Consumer<AllowanceVerdict> onDecision) {}
 
     /**
-     * Creates a client that knows of no leader.
+     * Creates a client that does not know the leader yet.
      *
-     * @param entryHosts tells how many entry hosts share what is allowed during outages
+     * @param entryHostCount supplies the number of entry hosts that share the outage allowance
      */
     AllowanceClient(
-            EventLoop loop, ControlWay way, OutageAllowance outage, IntSupplier entryHosts) {
+            EventLoop loop,
+            ControlHostConnections controlHosts,
+            OutageAllowance outageAllowance,
+            IntSupplier entryHostCount) {
         this.loop = loop;
-        this.way = way;
-        this.outage = outage;
-        this.entryHosts = entryHosts;
+        this.controlHosts = controlHosts;
+        this.outageAllowance = outageAllowance;
+        this.entryHostCount = entryHostCount;
     }
 
     /**
-     * Asks for a request's part of its customer's allowance.
+     * Claims a request's cost from its customer's allowance.
      *
-     * @param returned what was granted for it before and has not been run
-     * @param decided told of the decision, always later
+     * @param returned the cost of an earlier, unused grant to the same request, 0 if none
+     * @param onDecision called with the decision in a later task of the event loop, never before
+     *     this method returns
      */
-    void ask(Customer customer, double cost, double returned, Consumer<AllowanceVerdict> decided) {
-        Claim claim = new Claim(customer, cost, decided);
-        if (silent) {
+    void claim(
+            Customer customer,
+            double cost,
+            double returned,
+            Consumer<AllowanceVerdict> onDecision) {
+        PendingClaim claim = new PendingClaim(customer, cost, onDecision);
+        if (leaderUnresponsive) {
             probe(BootClock.nanos());
-            loop.execute(() -> decideAlone(claim));
+            loop.execute(() -> decideLocally(claim));
             return;
         }
-        long number = ++lastNumber;
-        claims.put(number, claim);
-        add(encode(number, claim).setReturned(returned).build());
-        loop.schedule(() -> overdue(number), PATIENCE.toMillis(), TimeUnit.MILLISECONDS);
+        long number = ++lastClaimNumber;
+        pendingClaims.put(number, claim);
+        enqueue(encode(number, claim).setReturned(returned).build());
+        loop.schedule(
+                () -> handleTimeout(number), ANSWER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    /** Gives back what was granted and has not been run. */
-    void giveBack(Customer customer, double cost) {
-        if (!silent) {
-            add(
+    /**
+     * Returns the cost of a grant whose request was not run; a no-op while the leader is silent.
+     */
+    void returnUnused(Customer customer, double cost) {
+        if (!leaderUnresponsive) {
+            enqueue(
                     AllowanceClaim.newBuilder()
                             .setCustomer(customer.id().value())
                             .setReturned(cost)
@@ -94,38 +110,38 @@
         }
     }
 
-    /** Takes in what a control host answers. */
-    void received(AllowanceAnswer answer) {
+    /** Handles a control host's answer, which holds decisions or names the current leader. */
+    void receive(AllowanceAnswer answer) {
         if (answer.getLeads()) {
             leader = Optional.of(new HostId(answer.getLeader()));
-            if (silent) {
-                silent = false;
+            if (leaderUnresponsive) {
+                leaderUnresponsive = false;
                 logger.info("allowance.granted-again leader={}", answer.getLeader());
             }
-            answer.getDecisionsList().forEach(this::decided);
+            answer.getDecisionsList().forEach(this::applyDecision);
         } else if (!answer.getLeader().isEmpty()) {
-            follow(new HostId(answer.getLeader()));
+            switchLeader(new HostId(answer.getLeader()));
         }
     }
 
-    /** Asks again, at another host, what nobody has decided yet. */
-    private void follow(HostId next) {
-        if (leader.filter(next::equals).isPresent()) {
+    /** Resends all undecided claims to a newly named leader. */
+    private void switchLeader(HostId newLeader) {
+        if (leader.filter(newLeader::equals).isPresent()) {
             return;
         }
-        leader = Optional.of(next);
-        claims.forEach((number, claim) -> add(encode(number, claim).build()));
-        if (silent) {
+        leader = Optional.of(newLeader);
+        pendingClaims.forEach((number, claim) -> enqueue(encode(number, claim).build()));
+        if (leaderUnresponsive) {
             probe(BootClock.nanos());
         }
     }
 
-    private void decided(AllowanceDecision decision) {
-        Claim claim = claims.remove(decision.getNumber());
+    private void applyDecision(AllowanceDecision decision) {
+        PendingClaim claim = pendingClaims.remove(decision.getNumber());
         if (claim == null) {
             return;
         }
-        claim.decided()
+        claim.onDecision()
                 .accept(
                         decision.getGranted()
                                 ? new AllowanceVerdict.Granted()
@@ -133,40 +149,43 @@
                                         Duration.ofMillis(decision.getRetryAfterMillis())));
     }
 
-    /** What is granted after this is not given back: it was decided otherwise. */
-    private void overdue(long number) {
-        Claim claim = claims.remove(number);
+    /**
+     * Decides a claim locally that the leader has not answered in time. A grant that arrives
+     * afterwards is not returned, since the request was decided without it.
+     */
+    private void handleTimeout(long number) {
+        PendingClaim claim = pendingClaims.remove(number);
         if (claim == null) {
             return;
         }
-        if (!silent) {
-            silent = true;
+        if (!leaderUnresponsive) {
+            leaderUnresponsive = true;
             logger.info("allowance.unanswered leader={}", leader.orElse(null));
         }
         probe(BootClock.nanos());
-        decideAlone(claim);
+        decideLocally(claim);
     }
 
-    private void decideAlone(Claim claim) {
-        claim.decided()
+    private void decideLocally(PendingClaim claim) {
+        claim.onDecision()
                 .accept(
-                        outage.take(
+                        outageAllowance.take(
                                 claim.customer().id(),
                                 claim.customer().limit().orElseThrow(),
                                 claim.cost(),
-                                entryHosts.getAsInt(),
+                                entryHostCount.getAsInt(),
                                 BootClock.nanos()));
     }
 
     private void probe(long now) {
-        if (now - probedAt < PROBE.toNanos()) {
+        if (now - lastProbeAt < PROBE_INTERVAL.toNanos()) {
             return;
         }
-        probedAt = now;
-        way.sendToAll(frame(List.of()));
+        lastProbeAt = now;
+        controlHosts.sendToAll(frame(List.of()));
     }
 
-    private void add(AllowanceClaim claim) {
+    private void enqueue(AllowanceClaim claim) {
         unsent.add(claim);
         if (unsent.size() == 1) {
             loop.execute(this::flush);
@@ -174,17 +193,17 @@
     }
 
     private void flush() {
-        List<AllowanceClaim> together = unsent;
+        List<AllowanceClaim> batch = unsent;
         unsent = new ArrayList<>();
-        Optional<HostId> to = leader.or(() -> way.connected().stream().findFirst());
-        boolean sent = to.filter(host -> way.send(host, frame(together))).isPresent();
+        Optional<HostId> target = leader.or(() -> controlHosts.connected().stream().findFirst());
+        boolean sent = target.filter(host -> controlHosts.send(host, frame(batch))).isPresent();
         if (!sent) {
             leader = Optional.empty();
             probe(BootClock.nanos());
         }
     }
 
-    private static AllowanceClaim.Builder encode(long number, Claim claim) {
+    private static AllowanceClaim.Builder encode(long number, PendingClaim claim) {
         return AllowanceClaim.newBuilder()
                 .setNumber(number)
                 .setCustomer(claim.customer().id().value())
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlNotices.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlNotifier.java
@@ -15,34 +15,37 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Tells the control hosts what requests have met, the same again only after a while. */
-final class ControlNotices {
+/**
+ * Notifies the control hosts of what this host has learned from requests to instances. Suppresses
+ * repetitions of the same notice within 250 ms.
+ */
+final class ControlNotifier {
 
-    /** An order takes some ten milliseconds; told again, it does no harm. */
-    private static final long AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    /** An order to an engine takes some ten milliseconds; a repeated notice does no harm. */
+    private static final long REPEAT_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
     private final HostId self;
     private final Consumer<Frame> toControlHosts;
-    private final Map<Frame, Long> told = new HashMap<>();
+    private final Map<Frame, Long> lastSentAt = new HashMap<>();
 
-    ControlNotices(HostId self, Consumer<Frame> toControlHosts) {
+    ControlNotifier(HostId self, Consumer<Frame> toControlHosts) {
         this.self = self;
         this.toControlHosts = toControlHosts;
     }
 
-    /** Says that a request waits for an adapter. */
-    void wantAdapter(Instance instance, Need need) {
+    /** Notifies that a request waits for an adapter at an instance. */
+    void notifyAdapterWanted(Instance instance, Need need) {
         AdapterWanted wanted =
                 AdapterWanted.newBuilder()
                         .setInstance(instance.id().toString())
                         .setModel(need.model().orElseThrow().value())
                         .setAdapter(need.adapter().orElseThrow())
                         .build();
-        tell(Frame.newBuilder().setAdapterWanted(wanted).build());
+        sendUnlessRecent(Frame.newBuilder().setAdapterWanted(wanted).build());
     }
 
-    /** Says that no connection to an instance came up. */
-    void unreachable(Instance instance, Stage stage) {
+    /** Notifies that no connection to an instance could be established; ignores other stages. */
+    void notifyUnreachable(Instance instance, Stage stage) {
         if (stage != Stage.REFUSED && stage != Stage.NO_CONNECTION) {
             return;
         }
@@ -52,16 +55,16 @@
                         .setHost(self.value())
                         .setRefused(stage == Stage.REFUSED)
                         .build();
-        tell(Frame.newBuilder().setInstanceUnreachable(unreachable).build());
+        sendUnlessRecent(Frame.newBuilder().setInstanceUnreachable(unreachable).build());
     }
 
-    /** Says that an instance has said in an answer that it leaves. */
-    void leaving(UpstreamId id) {
-        tell(leavingOf(id));
+    /** Notifies that an instance has announced in an answer that it is leaving. */
+    void notifyLeaving(UpstreamId id) {
+        sendUnlessRecent(leavingFrame(id));
     }
 
-    /** Returns the frame that says that an instance leaves. */
-    Frame leavingOf(UpstreamId id) {
+    /** Returns the notice that an instance is leaving. */
+    Frame leavingFrame(UpstreamId id) {
         InstanceLeaving leaving =
                 InstanceLeaving.newBuilder()
                         .setInstance(id.toString())
@@ -70,17 +73,17 @@
         return Frame.newBuilder().setInstanceLeaving(leaving).build();
     }
 
-    /** Forgets what was told long ago. */
+    /** Removes records of notices that may be sent again. */
     void sweep() {
         long now = BootClock.nanos();
-        told.values().removeIf(at -> now - at >= AGAIN_NANOS);
+        lastSentAt.values().removeIf(at -> now - at >= REPEAT_INTERVAL_NANOS);
     }
 
-    private void tell(Frame frame) {
+    private void sendUnlessRecent(Frame frame) {
         long now = BootClock.nanos();
-        Long last = told.get(frame);
-        if (last == null || now - last >= AGAIN_NANOS) {
-            told.put(frame, now);
+        Long last = lastSentAt.get(frame);
+        if (last == null || now - last >= REPEAT_INTERVAL_NANOS) {
+            lastSentAt.put(frame, now);
             toControlHosts.accept(frame);
         }
     }
--- /dev/null
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlSubscriber.java
@@ -0,0 +1,314 @@
+package io.stackhall.server.gateway;
+
+import io.netty.channel.EventLoop;
+import io.stackhall.core.fleet.EvacuatedZones;
+import io.stackhall.core.fleet.InstanceTable;
+import io.stackhall.core.fleet.PrimarySelector;
+import io.stackhall.core.id.HostId;
+import io.stackhall.core.id.ModelId;
+import io.stackhall.core.id.UpstreamId;
+import io.stackhall.rpc.generated.fleet.CrashNotice;
+import io.stackhall.rpc.generated.fleet.FleetFollow;
+import io.stackhall.rpc.generated.fleet.InstanceRecord;
+import io.stackhall.rpc.generated.fleet.InstancesUpdate;
+import io.stackhall.rpc.generated.fleet.LimitWords;
+import io.stackhall.rpc.generated.fleet.PermitReply;
+import io.stackhall.rpc.generated.fleet.ResidencyChange;
+import io.stackhall.rpc.generated.fleet.WorkReport;
+import io.stackhall.rpc.generated.peer.Frame;
+import io.stackhall.server.clock.BootClock;
+import io.stackhall.server.fleet.ControlHosts;
+import io.stackhall.server.fleet.EvacuationCodec;
+import io.stackhall.server.fleet.HostWorkReports;
+import io.stackhall.server.fleet.InstanceCodec;
+import io.stackhall.server.peer.PeerTransport;
+import io.stackhall.server.peer.Replier;
+import io.stackhall.server.settings.FleetSettings;
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.random.RandomGenerator;
+import org.apache.logging.log4j.LogManager;
+import org.apache.logging.log4j.Logger;
+
+/**
+ * Keeps an entry host's routes and instances up to date from the updates of the control hosts. It
+ * subscribes to several of them, so that a slow or partitioned one delays nothing. The primary is
+ * the control host that this host sends its reports to. Not thread-safe: confined to one event
+ * loop, except where noted.
+ */
+final class ControlSubscriber {
+
+    private static final Logger logger = LogManager.getLogger(ControlSubscriber.class);
+
+    /** A quorum confirms within some milliseconds; one request per second may be lost. */
+    private static final Duration CONFIRMATION_TIMEOUT = Duration.ofMillis(1500);
+
+    /** Effectively disabled: control hosts detect silent instances and notify the entry hosts. */
+    private static final Duration SILENCE_TIMEOUT = Duration.ofDays(365);
+
+    private final FleetSettings settings;
+    private final EventLoop loop;
+    private final PeerTransport transport;
+    private final ControlHosts controlHosts;
+    private final Gateway gateway;
+    private final RandomGenerator random;
+    private final InstanceTable instanceTable = new InstanceTable(SILENCE_TIMEOUT);
+    private final Map<HostId, Long> connectionNumbers = new HashMap<>();
+    private boolean knowsInstances;
+    private final HostWorkReports workBoard = new HostWorkReports();
+    private final PrimarySelector primarySelector;
+    private Optional<HostId> primary = Optional.empty();
+    private final RoutesUpdater routesUpdater;
+    private EvacuatedZones evacuatedZones = EvacuatedZones.none();
+
+    ControlSubscriber(
+            FleetSettings settings,
+            EventLoop loop,
+            PeerTransport transport,
+            ControlHosts controlHosts,
+            Gateway gateway,
+            RandomGenerator random) {
+        this.settings = settings;
+        this.loop = loop;
+        this.transport = transport;
+        this.controlHosts = controlHosts;
+        this.gateway = gateway;
+        this.random = random;
+        this.primarySelector = new PrimarySelector(settings.peerName(), settings.zone());
+        this.routesUpdater = new RoutesUpdater(loop, gateway, this::requestRoutes);
+        gateway.upstreamWords()
+                .setLeavingListener(id -> instanceTable.drain(id).forEach(gateway::changed));
+    }
+
+    /** Activates routes that have waited long enough for a confirmation. */
+    void activateRoutes() {
+        routesUpdater.activateIfAllowed();
+    }
+
+    /**
+     * Returns whether routes and instances are known, so that callers' requests can be accepted.
+     */
+    boolean isReady() {
+        return gateway.knowsRoutes() && knowsInstances;
+    }
+
+    /**
+     * Subscribes to a control host to which a connection has been established, and sends it the
+     * crash and leaving notices that it may have missed. May be called on any thread.
+     */
+    void onConnected(HostId host) {
+        loop.execute(
+                () -> {
+                    connectionNumbers.put(host, random.nextLong(1, Long.MAX_VALUE));
+                    gateway.quarantine().whole().ifPresent(frame -> transport.send(host, frame));
+                    gateway.upstreamWords()
+                            .leavingFrames()
+                            .forEach(frame -> transport.send(host, frame));
+                    subscribe(host);
+                });
+    }
+
+    /** Renews the subscription to every control host, so that lost updates are sent again. */
+    void subscribeToAll() {
+        selectPrimary();
+        connectedHosts().forEach(this::subscribe);
+    }
+
+    /**
+     * Requests a confirmation of the active routes by a quorum, through the primary; once that has
+     * timed out, through every control host.
+     */
+    void requestConfirmation() {
+        boolean timedOut =
+                gateway.customers().confirmationAge().compareTo(CONFIRMATION_TIMEOUT) > 0;
+        connectedHosts().stream()
+                .filter(host -> timedOut || primary.filter(host::equals).isPresent())
+                .forEach(host -> subscribe(host, true));
+    }
+
+    private List<HostId> connectedHosts() {
+        return controlHosts.knownHosts().stream().filter(transport::connected).toList();
+    }
+
+    /** Sends a report to the primary, which forwards it to the other hosts. */
+    void sendToPrimary(Frame frame) {
+        boolean sent = primary.filter(host -> transport.send(host, frame)).isPresent();
+        if (!sent) {
+            selectPrimary();
+            primary.ifPresent(host -> transport.send(host, frame));
+        }
+    }
+
+    /**
+     * Returns the number of entry hosts per connected control host, assuming an even distribution.
+     */
+    int entryHostsPerControlHost() {
+        int connected = Math.max(1, controlHosts.connected().size());
+        return Math.ceilDiv(gateway.entryHosts(), connected);
+    }
+
+    /** Switches to another primary as soon as the current one is no longer the best choice. */
+    private void selectPrimary() {
+        Optional<HostId> best = primarySelector.select(controlHosts.connected(), BootClock.nanos());
+        if (best.equals(primary)) {
+            return;
+        }
+        logger.info(
+                "primary.chosen host={} before={}",
+                best.map(HostId::value).orElse(""),
+                primary.map(HostId::value).orElse(""));
+        Optional<HostId> former = primary;
+        primary = best;
+        former.ifPresent(this::subscribe);
+        best.ifPresent(this::subscribe);
+    }
+
+    /** Sends a frame to every control host. */
+    void sendToAll(Frame frame) {
+        controlHosts.knownHosts().forEach(host -> transport.send(host, frame));
+    }
+
+    /** Receives a frame from a control host. May be called on any thread. */
+    void receive(Frame frame, Replier replier) {
+        loop.execute(() -> receiveOnLoop(frame, replier));
+    }
+
+    private void receiveOnLoop(Frame frame, Replier replier) {
+        switch (frame.getBodyCase()) {
+            case INTRODUCTION -> {
+                controlHosts.receiveIntroduction(frame.getIntroduction());
+                selectPrimary();
+                if (!frame.getIntroduction().getAnswer()) {
+                    replier.send(controlHosts.introduction(true));
+                }
+            }
+            case INSTANCES -> updateInstances(frame.getInstances());
+            case ROUTES -> routesUpdater.receive(frame.getRoutes());
+            case RESIDENCY -> updateResidency(frame.getResidency());
+            case WORK -> updateWork(frame.getWork());
+            case EVACUATED -> updateEvacuatedZones(EvacuationCodec.decode(frame.getEvacuated()));
+            case CRASH_NOTICE -> receiveCrashNotice(frame.getCrashNotice());
+            case LIMIT_WORDS -> updateLimits(frame.getLimitWords());
+            case PERMIT_REPLY -> receivePermitReply(frame.getPermitReply());
+            case ALLOWANCE_ANSWER ->
+                    gateway.customers().allowanceClient().receive(frame.getAllowanceAnswer());
+            default -> logger.debug("peer.frame-ignored kind={}", frame.getBodyCase());
+        }
+    }
+
+    private void updateInstances(InstancesUpdate update) {
+        if (update.getOutOfTouch()) {
+            primary.ifPresent(host -> primarySelector.recordDecline(host, BootClock.nanos()));
+            selectPrimary();
+            return;
+        }
+        update.getInstancesList().forEach(this::updateInstance);
+        gateway.entryHosts(update.getEntryHosts());
+        knowsInstances |= update.getWhole();
+        gateway.serveWaiting();
+    }
+
+    private void updateInstance(InstanceRecord record) {
+        InstanceCodec.decode(record)
+                .peek(
+                        instance ->
+                                instanceTable
+                                        .merge(instance, BootClock.nanos())
+                                        .forEach(gateway::changed))
+                .peekLeft(finding -> logger.warn("upstream.record-refused {}", finding));
+    }
+
+    private void updateLimits(LimitWords updates) {
+        if (gateway.upstreamLimits().receiveUpdates(updates)) {
+            gateway.serveWaiting();
+        }
+    }
+
+    private void receivePermitReply(PermitReply reply) {
+        if (gateway.upstreamLimits().receivePermitReply(reply)) {
+            gateway.serveWaiting();
+        }
+    }
+
+    private void receiveCrashNotice(CrashNotice notice) {
+        gateway.quarantine().received(notice);
+        gateway.serveWaiting();
+    }
+
+    private void updateWork(WorkReport report) {
+        long now = BootClock.nanos();
+        workBoard.setHostCount(gateway.entryHosts());
+        workBoard.receive(report, now);
+        gateway.dispatcher().updateRemoteRequests(workBoard.maxRequests(now), now);
+        gateway.dispatcher().updateRemoteUnreadTokens(workBoard.maxUnreadTokens(now), now);
+    }
+
+    private void updateEvacuatedZones(EvacuatedZones update) {
+        EvacuatedZones newest = evacuatedZones.newer(update);
+        if (newest.equals(evacuatedZones)) {
+            return;
+        }
+        evacuatedZones = newest;
+        logger.info("evacuations.in-force revision={} zones={}", newest.revision(), newest.zones());
+        gateway.dispatcher().setEvacuatedZones(newest);
+        gateway.serveWaiting();
+    }
+
+    private void updateResidency(ResidencyChange change) {
+        if (change.getComingMillis() > 0) {
+            gateway.dispatcher()
+                    .loadStarted(
+                            UpstreamId.parse(change.getInstance()),
+                            new ModelId(change.getModel()),
+                            Duration.ofMillis(change.getComingMillis()),
+                            BootClock.nanos());
+            gateway.serveWaiting();
+            return;
+        }
+        gateway.dispatcher()
+                .updateResidency(
+                        UpstreamId.parse(change.getInstance()),
+                        new ModelId(change.getModel()),
+                        Optional.of(change.getAdapter()).filter(name -> !name.isEmpty()),
+                        change.getResident(),
+                        BootClock.nanos());
+        gateway.serveWaiting();
+    }
+
+    /** Requests the complete newest configuration from a random connected control host. */
+    private void requestRoutes() {
+        List<HostId> connected = connectedHosts();
+        if (!connected.isEmpty()) {
+            HostId host = connected.get(random.nextInt(connected.size()));
+            send(
+                    host,
+                    newSubscription(host, routesUpdater.wantsConfirmation()).setWantsRoutes(true));
+        }
+    }
+
+    private void subscribe(HostId host) {
+        subscribe(host, routesUpdater.wantsConfirmation());
+    }
+
+    private void subscribe(HostId host, boolean wantsConfirmation) {
+        send(host, newSubscription(host, wantsConfirmation));
+    }
+
+    private void send(HostId host, FleetFollow.Builder follow) {
+        transport.send(host, Frame.newBuilder().setFleetFollow(follow).build());
+    }
+
+    private FleetFollow.Builder newSubscription(HostId host, boolean wantsConfirmation) {
+        return FleetFollow.newBuilder()
+                .setHost(settings.peerName().value())
+                .setConnection(connectionNumbers.getOrDefault(host, 0L))
+                .setRoutesVersion(routesUpdater.heldVersion())
+                .setWantsConfirmation(wantsConfirmation)
+                .setAskedAt(BootClock.nanos())
+                .setEvacuations(evacuatedZones.revision())
+                .setPrimary(primary.filter(host::equals).isPresent());
+    }
+}
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/DemandCounts.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/DemandCounts.java
@@ -7,7 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * Counts, by model and adapter, the requests that have come since the last report and that wait.
+ * Counts requests by model and adapter: arrivals since the last report, and requests that wait now.
+ * Ignores requests without a model.
  */
 final class DemandCounts {
 
@@ -19,33 +20,33 @@
         private int waiting;
     }
 
-    void arrived(Need need) {
+    void recordArrival(Need need) {
         if (need.model().isPresent()) {
             count(need).arrivals++;
         }
     }
 
-    void waits(Need need) {
+    void recordWaitStart(Need need) {
         if (need.model().isPresent()) {
             count(need).waiting++;
             newlyWaiting = true;
         }
     }
 
-    void waitsNoMore(Need need) {
+    void recordWaitEnd(Need need) {
         if (need.model().isPresent()) {
             Count count = count(need);
             count.waiting = Math.max(0, count.waiting - 1);
         }
     }
 
-    /** Returns whether a request waits that the last report did not tell of. */
-    boolean urgent() {
+    /** Returns whether a request has begun to wait since the last report. */
+    boolean hasNewlyWaiting() {
         return newlyWaiting;
     }
 
-    /** Takes the counts since the last report; waiting requests are counted in each. */
-    DemandReport take(String host, String zone) {
+    /** Returns a report and resets the arrivals; waiting requests are included in every report. */
+    DemandReport takeReport(String host, String zone) {
         newlyWaiting = false;
         DemandReport.Builder report = DemandReport.newBuilder().setHost(host).setZone(zone);
         counts.forEach(
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/StreamedAnswer.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/StreamedAnswer.java
@@ -4,52 +4,54 @@
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.OptionalLong;
 
-/** An event stream on its way to a caller, perhaps from one instance after another. */
+/** Forwards an event stream to a caller; several instances in turn may supply its events. */
 final class StreamedAnswer {
 
-    private final AnswerWriter answers;
+    private final AnswerWriter writer;
     private final RequestLog log;
-    private boolean begun;
-    private OptionalLong lastEvent = OptionalLong.empty();
+    private boolean started;
+    private OptionalLong lastEventId = OptionalLong.empty();
 
-    StreamedAnswer(AnswerWriter answers, RequestLog log) {
-        this.answers = answers;
+    StreamedAnswer(AnswerWriter writer, RequestLog log) {
+        this.writer = writer;
         this.log = log;
     }
 
-    /** Returns whether the caller has got any of it. */
-    boolean begun() {
-        return begun;
+    /** Returns whether any part of the answer has been written to the caller. */
+    boolean hasBegun() {
+        return started;
     }
 
-    /** Returns the last event that the caller has got. */
-    OptionalLong lastEvent() {
-        return lastEvent;
+    /** Returns the id of the last event written to the caller. */
+    OptionalLong lastEventId() {
+        return lastEventId;
     }
 
-    /** Passes an event on, unless the caller has got it already from an earlier instance. */
-    void event(HttpResponse head, EventAssembler.Event event) {
-        boolean old =
+    /** Forwards an event, unless an earlier instance has already supplied it. */
+    void forwardEvent(HttpResponse head, EventAssembler.Event event) {
+        boolean duplicate =
                 event.id().isPresent()
-                        && lastEvent.isPresent()
-                        && event.id().getAsLong() <= lastEvent.getAsLong();
-        if (old) {
+                        && lastEventId.isPresent()
+                        && event.id().getAsLong() <= lastEventId.getAsLong();
+        if (duplicate) {
             event.bytes().release();
             return;
         }
         if (event.id().isPresent()) {
-            lastEvent = event.id();
+            lastEventId = event.id();
         }
-        rest(head, event.bytes());
+        forwardBytes(head, event.bytes());
     }
 
-    /** Passes on what is no event; the head of the first instance stands for all. */
-    void rest(HttpResponse head, ByteBuf bytes) {
-        if (!begun) {
-            begun = true;
+    /**
+     * Forwards bytes; the first instance's head is written before them, later heads are ignored.
+     */
+    void forwardBytes(HttpResponse head, ByteBuf bytes) {
+        if (!started) {
+            started = true;
             log.begun();
-            answers.begin(Answers.head(head));
+            writer.writeHead(Answers.head(head));
         }
-        answers.part(bytes);
+        writer.writePart(bytes);
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/WaitingRequests.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/WaitingRequests.java
@@ -8,26 +8,26 @@
 import java.util.Set;
 
 /**
- * The requests that wait for an instance: what can still be in time before what can only be late,
- * then the most urgent first, then the one with least time.
+ * Queue of the requests that wait for an instance. Requests that can still meet their latency
+ * objective come first, then the most urgent ones, then those with the earliest deadline.
  *
- * <p>Under an overload that lasts, an order by rank and age alone keeps every request waiting until
- * it is late: of 134 requests for one model within two seconds none was in time (one day of
- * trouble, from the log).
+ * <p>Under a lasting overload, an order by rank and age alone keeps every request waiting until it
+ * is late: in one incident, none of 134 requests for one model within two seconds was in time, by
+ * the log.
  */
 final class WaitingRequests {
 
     private final Set<RelayedRequest> requests = new LinkedHashSet<>();
-    private final Runnable beforeAll;
-    private boolean trying;
+    private final Runnable beforeRetry;
+    private boolean retrying;
 
     /**
-     * Creates a line in which nobody waits.
+     * Creates an empty queue.
      *
-     * @param beforeAll run before all that wait are tried anew
+     * @param beforeRetry run before all waiting requests are tried again
      */
-    WaitingRequests(Runnable beforeAll) {
-        this.beforeAll = beforeAll;
+    WaitingRequests(Runnable beforeRetry) {
+        this.beforeRetry = beforeRetry;
     }
 
     void add(RelayedRequest request) {
@@ -46,42 +46,45 @@
         return requests.isEmpty();
     }
 
-    /** Returns how many requests for the same model come before one, which need not wait yet. */
-    int before(RelayedRequest request) {
+    /**
+     * Returns how many requests for the same model are served before one, which need not be in the
+     * queue itself.
+     */
+    int countAhead(RelayedRequest request) {
         int count = 0;
-        Comparator<RelayedRequest> order = order(BootClock.nanos());
+        Comparator<RelayedRequest> order = servingOrder(BootClock.nanos());
         for (RelayedRequest other : requests) {
-            boolean same = other.need().model().equals(request.need().model());
-            if (same && other != request && order.compare(other, request) < 0) {
+            boolean sameModel = other.need().model().equals(request.need().model());
+            if (sameModel && other != request && order.compare(other, request) < 0) {
                 count++;
             }
         }
         return count;
     }
 
-    private static Comparator<RelayedRequest> order(long now) {
+    private static Comparator<RelayedRequest> servingOrder(long now) {
         return Comparator.comparing((RelayedRequest request) -> request.late(now))
                 .thenComparingInt(request -> request.need().rank())
                 .thenComparingLong(RelayedRequest::deadlineAt);
     }
 
-    /** Tries each once; a request that is sent or refused leaves. */
-    void tryAll() {
-        if (trying || requests.isEmpty()) {
+    /** Tries each request once, in order; one that is sent or refused leaves the queue. */
+    void retryAll() {
+        if (retrying || requests.isEmpty()) {
             return;
         }
-        trying = true;
+        retrying = true;
         try {
-            beforeAll.run();
+            beforeRetry.run();
             List<RelayedRequest> inOrder = new ArrayList<>(requests);
-            inOrder.sort(order(BootClock.nanos()));
+            inOrder.sort(servingOrder(BootClock.nanos()));
             for (RelayedRequest request : inOrder) {
                 if (requests.contains(request)) {
                     request.tryAgain();
                 }
             }
         } finally {
-            trying = false;
+            retrying = false;
         }
     }
 }
