--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/Answers.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/Answers.java
@@ -62,20 +62,20 @@
     }
 
     /** Returns whether an upstream says that it has not run the request. */
-    static boolean saysNotRun(HttpResponse head) {
+    static boolean reportsNotRun(HttpResponse head) {
         return head.headers().contains(Headers.NOT_RUN)
                 || head.status().equals(HttpResponseStatus.MISDIRECTED_REQUEST);
     }
 
     /** Returns whether callers read a status as the promise that their request has not run. */
-    static boolean looksLikeRefusal(HttpResponseStatus status) {
+    static boolean impliesNotRun(HttpResponseStatus status) {
         return status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                 || status.equals(HttpResponseStatus.TOO_MANY_REQUESTS)
                 || status.equals(HttpResponseStatus.REQUEST_TIMEOUT);
     }
 
     /** Returns an upstream's answer with its whole body. */
-    static FullHttpResponse whole(HttpResponse head, ByteBuf body) {
+    static FullHttpResponse full(HttpResponse head, ByteBuf body) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, head.status(), body);
         copyHeaders(head.headers(), response.headers());
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/AttemptHistory.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/AttemptHistory.java
@@ -10,19 +10,19 @@
 final class AttemptHistory {
 
     /** An adapter that was ordered arrives within some ten milliseconds, or not at all. */
-    private static final int MOST_ADAPTER_REFUSALS = 2;
+    private static final int MAX_ADAPTER_REFUSALS = 2;
 
     private final Set<UpstreamId> sentTo = new HashSet<>();
-    private final Set<UpstreamId> givenUp = new HashSet<>();
+    private final Set<UpstreamId> excluded = new HashSet<>();
     private int maxAttempts = 1;
     private boolean repeatable;
     private boolean resumable;
-    private int sends;
+    private int sendCount;
     private int adapterRefusals;
     private boolean mayHaveRun;
 
     /** Takes in what a request's route allows. */
-    void allow(Route route) {
+    void applyRoute(Route route) {
         maxAttempts = route.maxAttempts();
         repeatable = route.repeatable();
         resumable = route.resumable();
@@ -34,24 +34,24 @@
      * @param begun whether the caller has got a part of a stream
      * @param atEvent whether that part ends with a whole event
      */
-    boolean mayGoOn(boolean begun, boolean atEvent) {
+    boolean mayContinue(boolean begun, boolean atEvent) {
         boolean may = begun ? resumable && atEvent : repeatable;
-        return may && another();
+        return may && hasAttemptsLeft();
     }
 
     /** Notes that its bytes are written to an instance; one that was not reached does not count. */
-    void sent(UpstreamId id) {
+    void recordSent(UpstreamId id) {
         sentTo.add(id);
-        sends++;
+        sendCount++;
     }
 
     /** Notes that an instance says that it has not run it: that does not count as an attempt. */
-    void notRun(UpstreamId id) {
+    void recordNotRun(UpstreamId id) {
         sentTo.remove(id);
     }
 
     /** Notes that an instance has run it, or may have. */
-    void ran() {
+    void recordMayHaveRun() {
         mayHaveRun = true;
     }
 
@@ -61,30 +61,30 @@
     }
 
     /** Notes that an instance is not to be tried again. */
-    void giveUp(UpstreamId id) {
-        givenUp.add(id);
+    void exclude(UpstreamId id) {
+        excluded.add(id);
     }
 
     /** Returns whether an adapter that was refused once more is worth another try. */
-    boolean adapterMayCome() {
-        return adapterRefusals++ < MOST_ADAPTER_REFUSALS;
+    boolean tryAcquireAdapterRetry() {
+        return adapterRefusals++ < MAX_ADAPTER_REFUSALS;
     }
 
     /** Returns how often its bytes were written. */
-    int sends() {
-        return sends;
+    int sendCount() {
+        return sendCount;
     }
 
     /** Returns whether another instance may still get it. */
-    boolean another() {
+    boolean hasAttemptsLeft() {
         return sentTo.size() < maxAttempts;
     }
 
     /**
      * Returns which instances may get it: those that had it and were not given up, and new ones.
      */
-    Predicate<UpstreamId> allowed() {
-        boolean more = another();
-        return id -> !givenUp.contains(id) && (more || sentTo.contains(id));
+    Predicate<UpstreamId> allowedInstances() {
+        boolean more = hasAttemptsLeft();
+        return id -> !excluded.contains(id) && (more || sentTo.contains(id));
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/CallerConnection.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/CallerConnection.java
@@ -46,11 +46,11 @@
     private ChannelHandlerContext context;
     private HttpRequest head;
     private ByteArrayOutputStream body;
-    private long headAt;
+    private long headReceivedAt;
     private RelayedRequest relayed;
-    private boolean keep;
-    private boolean refused;
-    private ScheduledFuture<?> patience;
+    private boolean keepAlive;
+    private boolean closing;
+    private ScheduledFuture<?> timeout;
 
     CallerConnection(Gateway gateway) {
         this.gateway = gateway;
@@ -59,20 +59,20 @@
     @Override
     public void handlerAdded(ChannelHandlerContext added) {
         context = added;
-        gateway.opened(this);
-        await(gateway.limits().idleTimeout().toMillis(), this::rested);
+        gateway.connectionOpened(this);
+        startTimeout(gateway.callerLimits().idleTimeout().toMillis(), this::closeIdle);
     }
 
     /** Bytes of a request whose head is not whole yet have come. */
-    void bytesArrived() {
-        if (relayed == null && head == null && !refused) {
-            await(gateway.limits().headerTimeout().toMillis(), this::headTooSlow);
+    void bytesReceived() {
+        if (relayed == null && head == null && !closing) {
+            startTimeout(gateway.callerLimits().headerTimeout().toMillis(), this::headTimedOut);
         }
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ignored, Object message) {
-        if (refused) {
+        if (closing) {
             ReferenceCountUtil.release(message);
             return;
         }
@@ -83,27 +83,27 @@
             }
             return;
         }
-        take(message);
+        process(message);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ignored) {
-        refused = true;
-        stopWaiting();
+        closing = true;
+        cancelTimeout();
         backlog.forEach(ReferenceCountUtil::release);
         backlog.clear();
-        gateway.closed(this);
+        gateway.connectionClosed(this);
         RelayedRequest left = relayed;
         relayed = null;
         if (left != null) {
-            left.callerLeft();
+            left.callerDisconnected();
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ignored) {
         if (relayed != null) {
-            relayed.writable(context.channel().isWritable());
+            relayed.writabilityChanged(context.channel().isWritable());
         }
     }
 
@@ -118,7 +118,7 @@
     }
 
     /** Closes the connection if nothing is under way on it. */
-    void closeIfResting() {
+    void closeIfIdle() {
         if (relayed == null && head == null) {
             context.close();
         }
@@ -126,23 +126,23 @@
 
     @Override
     public void answer(FullHttpResponse response) {
-        boolean stays = keep && !gateway.draining();
+        boolean stays = keepAlive && !gateway.isDraining();
         HttpUtil.setContentLength(response, response.content().readableBytes());
-        mark(response, stays);
+        setConnectionHeader(response, stays);
         relayed = null;
         if (stays) {
             context.writeAndFlush(response);
-            next();
+            processBacklog();
         } else {
-            refused = true;
+            closing = true;
             context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
         }
     }
 
     @Override
     public void begin(HttpResponse response) {
-        keep = keep && !gateway.draining();
-        mark(response, keep);
+        keepAlive = keepAlive && !gateway.isDraining();
+        setConnectionHeader(response, keepAlive);
         HttpUtil.setTransferEncodingChunked(response, true);
         context.write(response);
     }
@@ -155,11 +155,11 @@
     @Override
     public void end() {
         relayed = null;
-        if (keep && !gateway.draining()) {
+        if (keepAlive && !gateway.isDraining()) {
             context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-            next();
+            processBacklog();
         } else {
-            refused = true;
+            closing = true;
             context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
                     .addListener(ChannelFutureListener.CLOSE);
         }
@@ -168,17 +168,17 @@
     @Override
     public void abort() {
         relayed = null;
-        refused = true;
+        closing = true;
         context.close();
     }
 
-    private void take(Object message) {
+    private void process(Object message) {
         try {
             if (message instanceof HttpRequest request) {
                 begin(request);
             }
             if (message instanceof HttpContent content && head != null) {
-                add(content);
+                addContent(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
@@ -186,22 +186,22 @@
     }
 
     private void begin(HttpRequest request) {
-        stopWaiting();
+        cancelTimeout();
         if (request.decoderResult().isFailure()) {
             Throwable cause = request.decoderResult().cause();
-            refuse(
+            rejectMalformed(
                     cause instanceof TooLongHttpHeaderException
                             ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
                             : HttpResponseStatus.BAD_REQUEST,
                     String.valueOf(cause.getMessage()));
             return;
         }
-        if (HttpUtil.getContentLength(request, 0L) > gateway.limits().maxBodyBytes()) {
-            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long");
+        if (HttpUtil.getContentLength(request, 0L) > gateway.callerLimits().maxBodyBytes()) {
+            rejectMalformed(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long");
             return;
         }
         head = request;
-        headAt = BootClock.nanos();
+        headReceivedAt = BootClock.nanos();
         body = new ByteArrayOutputStream();
         if (HttpUtil.is100ContinueExpected(request)) {
             context.writeAndFlush(
@@ -210,12 +210,12 @@
                             HttpResponseStatus.CONTINUE,
                             Unpooled.EMPTY_BUFFER));
         }
-        await(gateway.limits().idleTimeout().toMillis(), this::bodyTooSlow);
+        startTimeout(gateway.callerLimits().idleTimeout().toMillis(), this::bodyTimedOut);
     }
 
-    private void add(HttpContent content) {
+    private void addContent(HttpContent content) {
         if (content.decoderResult().isFailure()) {
-            refuse(HttpResponseStatus.BAD_REQUEST, "the body is broken");
+            rejectMalformed(HttpResponseStatus.BAD_REQUEST, "the body is broken");
             return;
         }
         try {
@@ -223,8 +223,8 @@
         } catch (IOException e) {
             throw new UncheckedIOException("memory cannot fail to be written", e);
         }
-        if (body.size() > gateway.limits().maxBodyBytes()) {
-            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long");
+        if (body.size() > gateway.callerLimits().maxBodyBytes()) {
+            rejectMalformed(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long");
             return;
         }
         if (content instanceof LastHttpContent) {
@@ -233,11 +233,15 @@
     }
 
     private void relay() {
-        stopWaiting();
+        cancelTimeout();
         CallerRequest request =
                 new CallerRequest(
-                        head.method(), head.uri(), head.headers(), body.toByteArray(), headAt);
-        keep = HttpUtil.isKeepAlive(head);
+                        head.method(),
+                        head.uri(),
+                        head.headers(),
+                        body.toByteArray(),
+                        headReceivedAt);
+        keepAlive = HttpUtil.isKeepAlive(head);
         head = null;
         body = null;
         relayed = new RelayedRequest(gateway, request, this);
@@ -245,53 +249,53 @@
     }
 
     /** Takes up what came while the last request was relayed. */
-    private void next() {
+    private void processBacklog() {
         context.channel().config().setAutoRead(true);
         if (backlog.isEmpty()) {
-            await(gateway.limits().idleTimeout().toMillis(), this::rested);
+            startTimeout(gateway.callerLimits().idleTimeout().toMillis(), this::closeIdle);
         }
-        while (!backlog.isEmpty() && relayed == null && !refused) {
-            take(backlog.pollFirst());
+        while (!backlog.isEmpty() && relayed == null && !closing) {
+            process(backlog.pollFirst());
         }
     }
 
-    private void refuse(HttpResponseStatus status, String reason) {
+    private void rejectMalformed(HttpResponseStatus status, String reason) {
         logger.info("request.malformed status={} reason={}", status.code(), reason);
         head = null;
-        refused = true;
-        stopWaiting();
+        closing = true;
+        cancelTimeout();
         FullHttpResponse response = Answers.failure(status, reason, "");
-        mark(response, false);
+        setConnectionHeader(response, false);
         HttpUtil.setContentLength(response, response.content().readableBytes());
         context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 
-    private void headTooSlow() {
-        refuse(HttpResponseStatus.REQUEST_TIMEOUT, "the head did not arrive in time");
+    private void headTimedOut() {
+        rejectMalformed(HttpResponseStatus.REQUEST_TIMEOUT, "the head did not arrive in time");
     }
 
-    private void bodyTooSlow() {
-        refuse(HttpResponseStatus.REQUEST_TIMEOUT, "the body did not arrive in time");
+    private void bodyTimedOut() {
+        rejectMalformed(HttpResponseStatus.REQUEST_TIMEOUT, "the body did not arrive in time");
     }
 
-    private void rested() {
-        refused = true;
+    private void closeIdle() {
+        closing = true;
         context.close();
     }
 
-    private void await(long millis, Runnable then) {
-        stopWaiting();
-        patience = context.executor().schedule(then, millis, TimeUnit.MILLISECONDS);
+    private void startTimeout(long millis, Runnable then) {
+        cancelTimeout();
+        timeout = context.executor().schedule(then, millis, TimeUnit.MILLISECONDS);
     }
 
-    private void stopWaiting() {
-        if (patience != null) {
-            patience.cancel(false);
-            patience = null;
+    private void cancelTimeout() {
+        if (timeout != null) {
+            timeout.cancel(false);
+            timeout = null;
         }
     }
 
-    private static void mark(HttpResponse response, boolean stays) {
+    private static void setConnectionHeader(HttpResponse response, boolean stays) {
         response.headers()
                 .set(
                         HttpHeaderNames.CONNECTION,
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlFollower.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlFollower.java
@@ -77,7 +77,8 @@
         this.random = random;
         this.primaries = new PrimarySelector(settings.peerName(), settings.zone());
         this.routes = new RoutesFollower(loop, gateway, this::askForRoutes);
-        gateway.upstreamWords().onLeaving(id -> table.drain(id).forEach(gateway::changed));
+        gateway.upstreamAnnouncements()
+                .onLeaving(id -> table.drain(id).forEach(gateway::instanceChanged));
     }
 
     /** Puts routes into force that nobody has confirmed for long enough. */
@@ -87,7 +88,7 @@
 
     /** Returns whether this host knows enough to take callers' requests. */
     boolean ready() {
-        return gateway.knowsRoutes() && knowsInstances;
+        return gateway.hasRoutes() && knowsInstances;
     }
 
     /** A connection to a control host has come up. */
@@ -95,8 +96,12 @@
         loop.execute(
                 () -> {
                     connections.put(host, random.nextLong(1, Long.MAX_VALUE));
-                    gateway.quarantine().whole().ifPresent(frame -> transport.send(host, frame));
-                    gateway.upstreamWords().whole().forEach(frame -> transport.send(host, frame));
+                    gateway.quarantine()
+                            .fullNotice()
+                            .ifPresent(frame -> transport.send(host, frame));
+                    gateway.upstreamAnnouncements()
+                            .whole()
+                            .forEach(frame -> transport.send(host, frame));
                     follow(host);
                 });
     }
@@ -134,7 +139,7 @@
     /** Returns how many entry hosts the primary serves, if all control hosts serve alike. */
     int sharing() {
         int controlHosts = Math.max(1, hosts.connected().size());
-        return Math.ceilDiv(gateway.entryHosts(), controlHosts);
+        return Math.ceilDiv(gateway.entryHostCount(), controlHosts);
     }
 
     /** Takes another primary at once where that of before is no longer the best. */
@@ -193,39 +198,40 @@
             return;
         }
         update.getInstancesList().forEach(this::instance);
-        gateway.entryHosts(update.getEntryHosts());
+        gateway.setEntryHostCount(update.getEntryHosts());
         knowsInstances |= update.getWhole();
-        gateway.serveWaiting();
+        gateway.dispatchWaiting();
     }
 
     private void instance(InstanceRecord record) {
         InstanceCodec.decode(record)
                 .peek(
                         instance ->
-                                table.merge(instance, BootClock.nanos()).forEach(gateway::changed))
+                                table.merge(instance, BootClock.nanos())
+                                        .forEach(gateway::instanceChanged))
                 .peekLeft(finding -> logger.warn("upstream.record-refused {}", finding));
     }
 
     private void limitsTold(LimitWords words) {
         if (gateway.upstreamLimits().told(words)) {
-            gateway.serveWaiting();
+            gateway.dispatchWaiting();
         }
     }
 
     private void permitReplied(PermitReply reply) {
         if (gateway.upstreamLimits().answered(reply)) {
-            gateway.serveWaiting();
+            gateway.dispatchWaiting();
         }
     }
 
     private void crashes(CrashNotice notice) {
         gateway.quarantine().received(notice);
-        gateway.serveWaiting();
+        gateway.dispatchWaiting();
     }
 
     private void work(WorkReport report) {
         long now = BootClock.nanos();
-        works.shared(gateway.entryHosts());
+        works.shared(gateway.entryHostCount());
         works.reported(report, now);
         gateway.dispatcher().updateRemoteRequests(works.mostRequests(now), now);
         gateway.dispatcher().updateRemoteUnreadTokens(works.mostUnread(now), now);
@@ -239,7 +245,7 @@
         evacuated = newest;
         logger.info("evacuations.in-force revision={} zones={}", newest.revision(), newest.zones());
         gateway.dispatcher().setEvacuatedZones(newest);
-        gateway.serveWaiting();
+        gateway.dispatchWaiting();
     }
 
     private void residency(ResidencyChange change) {
@@ -250,7 +256,7 @@
                             new ModelId(change.getModel()),
                             Duration.ofMillis(change.getComingMillis()),
                             BootClock.nanos());
-            gateway.serveWaiting();
+            gateway.dispatchWaiting();
             return;
         }
         gateway.dispatcher()
@@ -260,7 +266,7 @@
                         Optional.of(change.getAdapter()).filter(name -> !name.isEmpty()),
                         change.getResident(),
                         BootClock.nanos());
-        gateway.serveWaiting();
+        gateway.dispatchWaiting();
     }
 
     /** Asks any control host for the whole of the newest configuration. */
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/EndedLives.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/CrashProbe.java
@@ -20,23 +20,23 @@
  * <p>A connection that is reset or cut, an instance that is slow or silent, and one that breaks off
  * a single answer all leave somebody listening, or nobody who says so. Used on one event loop.
  */
-final class EndedLives {
+final class CrashProbe {
 
     /** Long enough for every connection of the life to have been closed, too. */
-    private static final long REMEMBERED_NANOS = TimeUnit.SECONDS.toNanos(5);
+    private static final long RETENTION_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     /**
      * The connections of a process that ends may go before its listener: of 3,000 connections that
      * were opened right after, 200 were still answered or reset (two sockets of one process).
      */
-    private static final long LISTENER_GOES_MILLIS = 100;
+    private static final long LISTENER_CLOSE_DELAY_MILLIS = 100;
 
     private final EventLoop loop;
     private final UpstreamClient upstreams;
-    private final Map<UpstreamId, Long> ended = new HashMap<>();
-    private final Map<UpstreamId, List<Consumer<Boolean>>> asking = new HashMap<>();
+    private final Map<UpstreamId, Long> crashed = new HashMap<>();
+    private final Map<UpstreamId, List<Consumer<Boolean>>> pending = new HashMap<>();
 
-    EndedLives(EventLoop loop, UpstreamClient upstreams) {
+    CrashProbe(EventLoop loop, UpstreamClient upstreams) {
         this.loop = loop;
         this.upstreams = upstreams;
     }
@@ -46,19 +46,19 @@
      *
      * @param then told, at once where it is known
      */
-    void ask(Instance instance, Consumer<Boolean> then) {
-        if (ended.containsKey(instance.id())) {
+    void check(Instance instance, Consumer<Boolean> then) {
+        if (crashed.containsKey(instance.id())) {
             then.accept(true);
             return;
         }
-        List<Consumer<Boolean>> others = asking.get(instance.id());
+        List<Consumer<Boolean>> others = pending.get(instance.id());
         if (others != null) {
             others.add(then);
             return;
         }
-        asking.put(instance.id(), new ArrayList<>(List.of(then)));
+        pending.put(instance.id(), new ArrayList<>(List.of(then)));
         upstreams.probe(
-                Address.parse(instance.address()), refused -> found(instance.id(), refused));
+                Address.parse(instance.address()), refused -> probed(instance.id(), refused));
     }
 
     /**
@@ -66,30 +66,30 @@
      *
      * @param then told if it has
      */
-    void askAgain(Instance instance, Runnable then) {
+    void checkLater(Instance instance, Runnable then) {
         loop.schedule(
                 () ->
-                        ask(
+                        check(
                                 instance,
                                 gone -> {
                                     if (gone) {
                                         then.run();
                                     }
                                 }),
-                LISTENER_GOES_MILLIS,
+                LISTENER_CLOSE_DELAY_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
     /** Forgets what ended long ago. */
     void sweep() {
         long now = BootClock.nanos();
-        ended.values().removeIf(at -> now - at > REMEMBERED_NANOS);
+        crashed.values().removeIf(at -> now - at > RETENTION_NANOS);
     }
 
-    private void found(UpstreamId life, boolean refused) {
+    private void probed(UpstreamId life, boolean refused) {
         if (refused) {
-            ended.put(life, BootClock.nanos());
+            crashed.put(life, BootClock.nanos());
         }
-        asking.remove(life).forEach(then -> then.accept(refused));
+        pending.remove(life).forEach(then -> then.accept(refused));
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
@@ -48,47 +48,47 @@
 
     private static final Logger logger = LogManager.getLogger(EntryDaemon.class);
 
-    private static final long FOLLOW_MILLIS = 1000;
-    private static final long DEMAND_MILLIS = 500;
+    private static final long SYNC_INTERVAL_MILLIS = 1000;
+    private static final long DEMAND_INTERVAL_MILLIS = 500;
 
     /** How often it is seen whether a report of this host's work is due. */
-    private static final long WORK_MILLIS = 150;
+    private static final long WORK_CHECK_INTERVAL_MILLIS = 150;
 
     /** The balancer leaves a host that was not ready twice, a second apart. */
-    private static final Duration BALANCER_LEAVES = Duration.ofMillis(2500);
+    private static final Duration BALANCER_REACTION_TIME = Duration.ofMillis(2500);
 
     /** Left of the grace when the process ends at the latest. */
     private static final Duration GRACE_MARGIN = Duration.ofMillis(700);
 
     /** What has not been sent by then is refused, in time for its caller to read it. */
-    private static final Duration WAITING_ENDS_BEFORE = Duration.ofMillis(1500);
+    private static final Duration REFUSAL_LEAD_TIME = Duration.ofMillis(1500);
 
-    private static final Duration DRAIN_POLL = Duration.ofMillis(50);
+    private static final Duration DRAIN_POLL_INTERVAL = Duration.ofMillis(50);
 
     /** Several confirmations may be lost before this host's keys stop counting. */
-    private static final int CONFIRMATIONS_IN_REVOCATION = 6;
+    private static final int CONFIRMATIONS_PER_REVOCATION_TIME = 6;
 
     /** How many entry hosts share the slack for resends, until the control hosts have told. */
     private static final int ASSUMED_ENTRY_HOSTS = 10;
 
-    private static final int BACKLOG = 512;
-    private static final int READY = 200;
-    private static final int NOT_READY = 503;
+    private static final int ACCEPT_BACKLOG = 512;
+    private static final int OK = 200;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     private final FleetSettings settings;
     private final FleetSettings.Entry entry;
-    private final MultiThreadIoEventLoopGroup threads =
+    private final MultiThreadIoEventLoopGroup eventLoops =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop loop = threads.next();
+    private final EventLoop loop = eventLoops.next();
     private final PeerTransport transport;
-    private final ControlHosts hosts;
+    private final ControlHosts controlHosts;
     private final Gateway gateway;
     private final ControlFollower follower;
     private final OwnReports reports;
     private final UpstreamClient upstreams;
-    private Channel callers;
-    private Channel readiness;
-    private Optional<Channel> metrics = Optional.empty();
+    private Channel callerChannel;
+    private Channel readinessChannel;
+    private Optional<Channel> metricsChannel = Optional.empty();
 
     /** Creates a process that does not run yet. */
     public EntryDaemon(FleetSettings settings, FleetSettings.Entry entry) {
@@ -96,14 +96,15 @@
         this.entry = entry;
         Random random = new Random();
         FleetSettings.Limits limits = settings.limits();
-        this.transport = new PeerTransport(settings.peers(), threads, FleetDaemon.PEER_TIMING);
-        this.hosts = new ControlHosts(settings, transport, this::connected);
+        this.transport = new PeerTransport(settings.peers(), eventLoops, FleetDaemon.PEER_TIMING);
+        this.controlHosts = new ControlHosts(settings, transport, this::controlHostConnected);
         this.upstreams = new UpstreamClient(loop, Headers.REQUEST_ID);
         LimitedUpstreams limited = new LimitedUpstreams(settings.peerName(), random);
         limited.setHostCount(ASSUMED_ENTRY_HOSTS);
         FleetMetrics figures = new FleetMetrics();
         UpstreamLimits upstreamLimits =
-                new UpstreamLimits(settings.peerName(), loop, limited, new ControlLinks(), figures);
+                new UpstreamLimits(
+                        settings.peerName(), loop, limited, new ControlConnections(), figures);
         this.gateway =
                 new Gateway(
                         loop,
@@ -117,13 +118,14 @@
                                 limits.retrySlack(),
                                 ASSUMED_ENTRY_HOSTS,
                                 limits.retryWindow()),
-                        new ControlNotices(settings.peerName(), this::tellControlHosts),
+                        new ControlNotices(settings.peerName(), this::sendToControlHosts),
                         customerGate(random),
-                        this::tellControlHosts,
+                        this::sendToControlHosts,
                         upstreamLimits,
                         figures,
                         random);
-        this.follower = new ControlFollower(settings, loop, transport, hosts, gateway, random);
+        this.follower =
+                new ControlFollower(settings, loop, transport, controlHosts, gateway, random);
         this.reports = new OwnReports(settings, gateway, follower);
         gateway.onNewlyWaiting(reports::tellDemand);
     }
@@ -131,21 +133,23 @@
     @Override
     public void start() {
         transport.open(follower::received);
-        hosts.start();
-        callers = listen(entry.callers(), new CallerChannels());
-        readiness = AnswerServer.listen(threads, entry.readiness(), this::readinessAnswer);
-        metrics =
-                settings.metrics().map(at -> AnswerServer.listen(threads, at, this::metricsAnswer));
-        RepeatedTask.every(loop, FOLLOW_MILLIS, this::follow);
-        RepeatedTask.every(loop, DEMAND_MILLIS, reports::tellDemand);
-        RepeatedTask.every(loop, WORK_MILLIS, reports::tellWork);
+        controlHosts.start();
+        callerChannel = listen(entry.callers(), new CallerChannelInitializer());
+        readinessChannel =
+                AnswerServer.listen(eventLoops, entry.readiness(), this::readinessAnswer);
+        metricsChannel =
+                settings.metrics()
+                        .map(at -> AnswerServer.listen(eventLoops, at, this::metricsAnswer));
+        RepeatedTask.every(loop, SYNC_INTERVAL_MILLIS, this::synchronize);
+        RepeatedTask.every(loop, DEMAND_INTERVAL_MILLIS, reports::tellDemand);
+        RepeatedTask.every(loop, WORK_CHECK_INTERVAL_MILLIS, reports::tellWork);
         settings.limits()
                 .keyRevocation()
                 .ifPresent(
                         time ->
                                 RepeatedTask.every(
                                         loop,
-                                        time.toMillis() / CONFIRMATIONS_IN_REVOCATION,
+                                        time.toMillis() / CONFIRMATIONS_PER_REVOCATION_TIME,
                                         follower::renewTrust));
         RepeatedTask.every(
                 loop, HostPauseDetector.TICK_INTERVAL.toMillis(), gateway.quarantine()::tick);
@@ -158,7 +162,7 @@
 
     @Override
     public void reload(FleetSettings next) {
-        hosts.reseed(next.seedPeers());
+        controlHosts.reseed(next.seedPeers());
     }
 
     @Override
@@ -166,32 +170,34 @@
         long started = BootClock.nanos();
         logger.info("daemon.draining host={}", settings.host());
         loop.execute(gateway::drain);
-        long leave = started + BALANCER_LEAVES.toNanos();
+        long leave = started + BALANCER_REACTION_TIME.toNanos();
         long end = started + settings.limits().stopGrace().minus(GRACE_MARGIN).toNanos();
         pauseUntil(leave);
-        callers.close();
-        loop.execute(gateway::closeResting);
-        long refuse = end - WAITING_ENDS_BEFORE.toNanos();
+        callerChannel.close();
+        loop.execute(gateway::closeIdleConnections);
+        long refuse = end - REFUSAL_LEAD_TIME.toNanos();
         awaitNoCallers(refuse);
         loop.execute(gateway::refuseWaiting);
         awaitNoCallers(end);
         logger.info(
-                "daemon.drained host={} connections={}", settings.host(), gateway.connections());
+                "daemon.drained host={} connections={}",
+                settings.host(),
+                gateway.connectionCount());
     }
 
     @Override
     public void close() {
-        callers.close();
-        readiness.close();
-        metrics.ifPresent(Channel::close);
+        callerChannel.close();
+        readinessChannel.close();
+        metricsChannel.ifPresent(Channel::close);
         transport.close();
-        threads.terminationFuture().awaitUninterruptibly(FleetDaemon.CLOSE_MILLIS);
+        eventLoops.terminationFuture().awaitUninterruptibly(FleetDaemon.CLOSE_MILLIS);
         logger.info("daemon.stopped host={}", settings.host());
     }
 
     private void awaitNoCallers(long until) {
-        while (BootClock.nanos() - until < 0 && gateway.connections() > 0) {
-            pauseUntil(BootClock.nanos() + DRAIN_POLL.toNanos());
+        while (BootClock.nanos() - until < 0 && gateway.connectionCount() > 0) {
+            pauseUntil(BootClock.nanos() + DRAIN_POLL_INTERVAL.toNanos());
         }
     }
 
@@ -201,24 +207,25 @@
         return new CustomerGate(
                 new KeyLease(limits.keyRevocation()),
                 outage,
-                new AllowanceClient(loop, new ControlLinks(), outage, this::entryHosts));
+                new AllowanceClient(
+                        loop, new ControlConnections(), outage, this::assumedEntryHostCount));
     }
 
     /** Before the control hosts have told how many there are, few would each take too much. */
-    private int entryHosts() {
-        return Math.max(ASSUMED_ENTRY_HOSTS, gateway.entryHosts());
+    private int assumedEntryHostCount() {
+        return Math.max(ASSUMED_ENTRY_HOSTS, gateway.entryHostCount());
     }
 
-    private void connected(HostId host) {
+    private void controlHostConnected(HostId host) {
         follower.connected(host);
     }
 
-    private void tellControlHosts(Frame frame) {
+    private void sendToControlHosts(Frame frame) {
         follower.tellAll(frame);
     }
 
-    private void follow() {
-        hosts.sweep();
+    private void synchronize() {
+        controlHosts.sweep();
         upstreams.sweep();
         gateway.notices().sweep();
         gateway.quarantine().sweep();
@@ -228,9 +235,9 @@
 
     private Channel listen(Address address, ChannelHandler channels) {
         return new ServerBootstrap()
-                .group(threads)
+                .group(eventLoops)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .childHandler(channels)
                 .bind(address.socket())
                 .syncUninterruptibly()
@@ -250,7 +257,7 @@
     }
 
     /** The way to the control hosts for questions about allowances and limits. */
-    private final class ControlLinks implements ControlWay {
+    private final class ControlConnections implements ControlWay {
         @Override
         public boolean send(HostId host, Frame frame) {
             return transport.send(host, frame);
@@ -258,12 +265,12 @@
 
         @Override
         public List<HostId> connected() {
-            return hosts.all().stream().filter(transport::connected).toList();
+            return controlHosts.all().stream().filter(transport::connected).toList();
         }
     }
 
     /** Connections of callers. */
-    private final class CallerChannels extends ChannelInitializer<SocketChannel> {
+    private final class CallerChannelInitializer extends ChannelInitializer<SocketChannel> {
         @Override
         protected void initChannel(SocketChannel channel) {
             channel.config().setTcpNoDelay(true);
@@ -274,11 +281,11 @@
                                 @Override
                                 public void channelRead(
                                         ChannelHandlerContext context, Object bytes) {
-                                    connection.bytesArrived();
+                                    connection.bytesReceived();
                                     context.fireChannelRead(bytes);
                                 }
                             },
-                            new RequestDecoder(gateway.limits()),
+                            new RequestDecoder(gateway.callerLimits()),
                             new HttpResponseEncoder(),
                             connection);
         }
@@ -289,12 +296,12 @@
                 path.equals(Calls.READINESS)
                         && follower.ready()
                         && gateway.customers().ready()
-                        && !gateway.draining();
-        return new AnswerServer.Answer(ready ? READY : NOT_READY, new byte[0]);
+                        && !gateway.isDraining();
+        return new AnswerServer.Answer(ready ? OK : SERVICE_UNAVAILABLE, new byte[0]);
     }
 
     private AnswerServer.Answer metricsAnswer(String path) {
-        gateway.measure();
-        return new AnswerServer.Answer(READY, gateway.metrics().scrape());
+        gateway.updateMetrics();
+        return new AnswerServer.Answer(OK, gateway.metrics().scrape());
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/FinalAnswer.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/FinalAnswer.java
@@ -14,8 +14,8 @@
  */
 final class FinalAnswer {
 
-    static final Duration SOON = Duration.ofMillis(300);
-    static final String BROKE_OFF = "the instance broke off";
+    static final Duration SHORT_RETRY_DELAY = Duration.ofMillis(300);
+    static final String INTERRUPTED = "the instance broke off";
 
     private final Gateway gateway;
     private final CallerRequest request;
@@ -49,16 +49,16 @@
     }
 
     /** Notes what the request needs of an instance. */
-    void about(Need known) {
+    void setNeed(Need known) {
         need = known;
     }
 
     /** Ends a request that waited in vain. */
     void giveUp(String reason, Duration retryAfter) {
         if (stream.begun()) {
-            breakOff(reason);
+            abort(reason);
         } else if (history.mayHaveRun()) {
-            finish(HttpResponseStatus.BAD_GATEWAY, "the outcome is unknown: " + reason);
+            fail(HttpResponseStatus.BAD_GATEWAY, "the outcome is unknown: " + reason);
         } else {
             refuse(reason, retryAfter);
         }
@@ -67,31 +67,31 @@
     /** Ends a request that its caller may not have run, or not now. */
     void deny(Right.Refused refused) {
         if (stream.begun() || history.mayHaveRun()) {
-            giveUp(refused.reason(), SOON);
+            giveUp(refused.reason(), SHORT_RETRY_DELAY);
         } else if (refused.retryAfter().isPresent()) {
             refuse(refused.status(), refused.reason(), refused.retryAfter().get());
         } else {
-            finish(refused.status(), refused.reason());
+            fail(refused.status(), refused.reason());
         }
     }
 
     /** Ends a request whose caller waits no longer. */
-    void outOfTime() {
+    void timeOut() {
         if (stream.begun()) {
-            breakOff("its time has passed");
-        } else if (history.sends() == 0) {
-            refuse("its time has passed", SOON);
+            abort("its time has passed");
+        } else if (history.sendCount() == 0) {
+            refuse("its time has passed", SHORT_RETRY_DELAY);
         } else {
-            finish(HttpResponseStatus.GATEWAY_TIMEOUT, "no answer came in time");
+            fail(HttpResponseStatus.GATEWAY_TIMEOUT, "no answer came in time");
         }
     }
 
     /** Ends a request that its instance broke off. */
-    void endBroken() {
+    void failInterrupted() {
         if (stream.begun()) {
-            breakOff(BROKE_OFF);
+            abort(INTERRUPTED);
         } else {
-            finish(HttpResponseStatus.BAD_GATEWAY, BROKE_OFF);
+            fail(HttpResponseStatus.BAD_GATEWAY, INTERRUPTED);
         }
     }
 
@@ -101,22 +101,22 @@
     }
 
     private void refuse(HttpResponseStatus status, String reason, Duration retryAfter) {
-        long version = gateway.knowsRoutes() ? gateway.routes().version() : -1;
-        log.refused(need, reason, retryAfter, history.sends(), version);
+        long version = gateway.hasRoutes() ? gateway.routes().version() : -1;
+        log.refused(need, reason, retryAfter, history.sendCount(), version);
         close.run();
         answers.answer(Answers.refusal(status, reason, request.id(), retryAfter));
     }
 
     /** Says that the request has failed, and promises nothing. */
-    void finish(HttpResponseStatus status, String reason) {
-        log.failed(status.code(), reason, history.sends());
+    void fail(HttpResponseStatus status, String reason) {
+        log.failed(status.code(), reason, history.sendCount());
         close.run();
         answers.answer(Answers.failure(status, reason, request.id()));
     }
 
     /** Ends an answer that has begun, so that its caller sees that it is not whole. */
-    private void breakOff(String reason) {
-        log.brokenOff(reason, stream.lastEvent(), history.sends());
+    private void abort(String reason) {
+        log.aborted(reason, stream.lastEvent(), history.sendCount());
         close.run();
         answers.abort();
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/Gateway.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/Gateway.java
@@ -40,12 +40,12 @@
     private static final Logger logger = LogManager.getLogger(Gateway.class);
 
     /** Between two looks at what waits: a thirtieth of the shortest objectives seen. */
-    private static final long WAITING_MILLIS = 25;
+    private static final long RECHECK_INTERVAL_MILLIS = 25;
 
     private final EventLoop loop;
     private final Dispatcher dispatcher;
     private final UpstreamClient upstreams;
-    private final RetryLimiter retries;
+    private final RetryLimiter retryLimiter;
     private final RandomGenerator random;
     private final WaitingRequests waiting;
     private final DemandCounts demand = new DemandCounts();
@@ -54,16 +54,16 @@
     private final Quarantine quarantine;
     private final CustomerGate customers;
     private final FleetMetrics metrics;
-    private final UpstreamLimits limits;
-    private final UpstreamWords words;
-    private final LineBudget lines = new LineBudget();
+    private final UpstreamLimits upstreamLimits;
+    private final UpstreamWords upstreamAnnouncements;
+    private final LineBudget lineBudget = new LineBudget();
     private RouteTable routes;
     private final FirstRoutes firstRoutes = new FirstRoutes();
     private boolean draining;
     private boolean closing;
-    private int entryHosts;
-    private Runnable newlyWaiting = () -> {};
-    private boolean lookScheduled;
+    private int entryHostCount;
+    private Runnable newlyWaitingListener = () -> {};
+    private boolean recheckScheduled;
 
     Gateway(
             EventLoop loop,
@@ -79,11 +79,11 @@
         this.loop = loop;
         this.dispatcher = dispatcher;
         this.upstreams = upstreams;
-        this.retries = retries;
+        this.retryLimiter = retries;
         this.notices = notices;
         this.customers = customers;
-        this.limits = limits;
-        this.words = new UpstreamWords(limits, dispatcher, notices);
+        this.upstreamLimits = limits;
+        this.upstreamAnnouncements = new UpstreamWords(limits, dispatcher, notices);
         this.waiting = new WaitingRequests(limits::recount);
         this.metrics = metrics;
         this.quarantine = new Quarantine(loop, dispatcher, upstreams, metrics, toControlHosts);
@@ -91,7 +91,7 @@
     }
 
     /** Takes over newer routes. */
-    void routes(RouteTable next) {
+    void setRoutes(RouteTable next) {
         if (routes != null && next.version() <= routes.version()) {
             return;
         }
@@ -110,17 +110,17 @@
         dispatcher.setColdRequestsPerSecond(next.coldRequestRates());
         customers.customers(next.customers());
         firstRoutes.release();
-        serveWaiting();
+        dispatchWaiting();
     }
 
     /** Takes in what is newly known of an instance. */
-    void changed(Instance instance) {
+    void instanceChanged(Instance instance) {
         logChange(instance);
         dispatcher.updateInstance(instance);
-        quarantine.heardOf(instance.id());
+        quarantine.instanceAnnounced(instance.id());
         if (instance.state() == InstanceState.GONE) {
             upstreams.forget(Address.parse(instance.address()));
-            words.forget(instance.id());
+            upstreamAnnouncements.forget(instance.id());
         }
     }
 
@@ -158,28 +158,28 @@
     }
 
     /** Tries to send what waits, the most urgent first. */
-    void serveWaiting() {
+    void dispatchWaiting() {
         waiting.tryAll();
-        limits.lookSoon();
+        upstreamLimits.lookSoon();
     }
 
     /** While something waits, it is looked at again and again: time alone may decide about it. */
-    private void lookAgainLater() {
-        if (!lookScheduled && !waiting.isEmpty()) {
-            lookScheduled = true;
-            loop.schedule(this::lookAgain, WAITING_MILLIS, TimeUnit.MILLISECONDS);
+    private void scheduleRecheck() {
+        if (!recheckScheduled && !waiting.isEmpty()) {
+            recheckScheduled = true;
+            loop.schedule(this::recheckWaiting, RECHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void lookAgain() {
-        lookScheduled = false;
+    private void recheckWaiting() {
+        recheckScheduled = false;
         try {
-            serveWaiting();
+            dispatchWaiting();
             if (demand.urgent()) {
-                newlyWaiting.run();
+                newlyWaitingListener.run();
             }
         } finally {
-            lookAgainLater();
+            scheduleRecheck();
         }
     }
 
@@ -196,16 +196,16 @@
     }
 
     /** Closes the connections on which nothing is under way. */
-    void closeResting() {
-        List.copyOf(connections).forEach(CallerConnection::closeIfResting);
+    void closeIdleConnections() {
+        List.copyOf(connections).forEach(CallerConnection::closeIfIdle);
     }
 
     /** Returns whether the process is about to end, so that nothing more is sent. */
-    boolean closing() {
+    boolean isClosing() {
         return closing;
     }
 
-    boolean draining() {
+    boolean isDraining() {
         return draining;
     }
 
@@ -213,24 +213,24 @@
         return metrics;
     }
 
-    LineBudget lines() {
-        return lines;
+    LineBudget lineBudget() {
+        return lineBudget;
     }
 
     /** Brings the measures of the present state up to date. */
-    void measure() {
+    void updateMetrics() {
         metrics.state("routes_version", routes == null ? -1.0 : (double) routes.version());
         metrics.state("instances", dispatcher.instances().size());
         metrics.state("waiting", waiting.size());
-        metrics.state("resends_left", retries.remaining());
+        metrics.state("resends_left", retryLimiter.remaining());
         metrics.state("caller_connections", connections.size());
-        quarantine.measure();
-        limits.measure();
+        quarantine.updateMetrics();
+        upstreamLimits.measure();
         metrics.state("resting_upstreams", dispatcher.restingCount());
     }
 
     /** Returns how many callers are connected. */
-    int connections() {
+    int connectionCount() {
         return connections.size();
     }
 
@@ -246,7 +246,7 @@
         return upstreams;
     }
 
-    boolean knowsRoutes() {
+    boolean hasRoutes() {
         return routes != null;
     }
 
@@ -254,38 +254,38 @@
         return routes;
     }
 
-    CallerLimits limits() {
+    CallerLimits callerLimits() {
         return routes == null ? CallerLimits.initial() : routes.limits();
     }
 
     /** Returns a number by which a request's share of a split is drawn. */
-    int ticket() {
+    int drawTicket() {
         return random.nextInt(Integer.MAX_VALUE);
     }
 
     /** Takes in how many entry hosts there are. */
-    void entryHosts(int seen) {
-        entryHosts = seen;
-        retries.updateHostCount(seen);
+    void setEntryHostCount(int seen) {
+        entryHostCount = seen;
+        retryLimiter.updateHostCount(seen);
         dispatcher.setHostCount(seen);
     }
 
     /** Returns how many entry hosts there are, as far as the control hosts have told. */
-    int entryHosts() {
-        return entryHosts;
+    int entryHostCount() {
+        return entryHostCount;
     }
 
     /** Has somebody told when requests for a model begin to wait. */
     void onNewlyWaiting(Runnable listener) {
-        newlyWaiting = listener;
+        newlyWaitingListener = listener;
     }
 
-    boolean mayResend(ServiceName service, long now) {
-        return retries.tryTake(service, now);
+    boolean tryAcquireRetry(ServiceName service, long now) {
+        return retryLimiter.tryTake(service, now);
     }
 
-    void arrived(Need need) {
-        retries.recordRequest(need.service(), BootClock.nanos());
+    void requestArrived(Need need) {
+        retryLimiter.recordRequest(need.service(), BootClock.nanos());
         demand.arrived(need);
     }
 
@@ -306,18 +306,18 @@
     }
 
     UpstreamLimits upstreamLimits() {
-        return limits;
+        return upstreamLimits;
     }
 
-    UpstreamWords upstreamWords() {
-        return words;
+    UpstreamWords upstreamAnnouncements() {
+        return upstreamAnnouncements;
     }
 
-    void waits(RelayedRequest request) {
+    void addWaiting(RelayedRequest request) {
         waiting.add(request);
         demand.waits(request.need());
-        limits.lookSoon();
-        lookAgainLater();
+        upstreamLimits.lookSoon();
+        scheduleRecheck();
     }
 
     FirstRoutes firstRoutes() {
@@ -325,38 +325,38 @@
     }
 
     /** Returns how many requests for the same model are served before one. */
-    int waitingBefore(RelayedRequest request) {
+    int countWaitingBefore(RelayedRequest request) {
         return waiting.before(request);
     }
 
     /** An instance has read a prompt, so that it may take another. */
-    void promptRead() {
+    void promptProcessed() {
         if (!waiting.isEmpty()) {
-            loop.execute(this::serveWaiting);
+            loop.execute(this::dispatchWaiting);
         }
     }
 
     /** A waiting request has been sent or answered. */
-    void waitsNoMore(RelayedRequest request) {
+    void removeWaiting(RelayedRequest request) {
         if (waiting.remove(request)) {
             demand.waitsNoMore(request.need());
         }
     }
 
     /** A request has ended, which may have made room for another. */
-    void gone(RelayedRequest request) {
+    void requestEnded(RelayedRequest request) {
         firstRoutes.remove(request);
-        waitsNoMore(request);
+        removeWaiting(request);
         if (!waiting.isEmpty()) {
-            loop.execute(this::serveWaiting);
+            loop.execute(this::dispatchWaiting);
         }
     }
 
-    void opened(CallerConnection connection) {
+    void connectionOpened(CallerConnection connection) {
         connections.add(connection);
     }
 
-    void closed(CallerConnection connection) {
+    void connectionClosed(CallerConnection connection) {
         connections.remove(connection);
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/Quarantine.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/Quarantine.java
@@ -44,15 +44,15 @@
     private static final Logger logger = LogManager.getLogger(Quarantine.class);
 
     private final Dispatcher dispatcher;
-    private final SuspectDispatcher apart;
-    private final EndedLives lives;
+    private final SuspectDispatcher suspectDispatcher;
+    private final CrashProbe crashProbe;
     private final FleetMetrics metrics;
     private final Consumer<Frame> toControlHosts;
     private final CrashLedger ledger = new CrashLedger();
-    private final UnconfirmedCrashes unexplained = new UnconfirmedCrashes();
-    private final SuspectIsolation trials = new SuspectIsolation();
-    private final HostPauseDetector pauses = new HostPauseDetector(BootClock.nanos());
-    private final Map<RequestDigest, Set<RelayedRequest>> underWay = new HashMap<>();
+    private final UnconfirmedCrashes unconfirmedCrashes = new UnconfirmedCrashes();
+    private final SuspectIsolation isolation = new SuspectIsolation();
+    private final HostPauseDetector pauseDetector = new HostPauseDetector(BootClock.nanos());
+    private final Map<RequestDigest, Set<RelayedRequest>> inFlight = new HashMap<>();
 
     Quarantine(
             EventLoop loop,
@@ -61,8 +61,8 @@
             FleetMetrics metrics,
             Consumer<Frame> toControlHosts) {
         this.dispatcher = dispatcher;
-        this.apart = new SuspectDispatcher(dispatcher, trials);
-        this.lives = new EndedLives(loop, upstreams);
+        this.suspectDispatcher = new SuspectDispatcher(dispatcher, isolation);
+        this.crashProbe = new CrashProbe(loop, upstreams);
         this.metrics = metrics;
         this.toControlHosts = toControlHosts;
     }
@@ -79,14 +79,14 @@
             Predicate<UpstreamId> allowed,
             boolean late,
             long now) {
-        return apart.choose(request, need, allowed, late, now);
+        return suspectDispatcher.choose(request, need, allowed, late, now);
     }
 
     /** Notes that a request is sent to an instance. */
-    void sent(RequestDigest request, Instance instance, RelayedRequest by) {
-        underWay.computeIfAbsent(request, key -> new HashSet<>()).add(by);
+    void attemptStarted(RequestDigest request, Instance instance, RelayedRequest by) {
+        inFlight.computeIfAbsent(request, key -> new HashSet<>()).add(by);
         if (ledger.standing(request, BootClock.nanos()) instanceof Standing.Suspect suspect) {
-            trials.begin(instance.id(), request);
+            isolation.begin(instance.id(), request);
             logger.info(
                     "request.apart digest={} instance={} crashes={}",
                     request,
@@ -96,22 +96,22 @@
     }
 
     /** Notes that a request's answer has begun. */
-    void begun(RequestDigest request, UpstreamId instance) {
-        trials.end(instance, request);
+    void answerBegun(RequestDigest request, UpstreamId instance) {
+        isolation.end(instance, request);
     }
 
     /** Notes that a request has left its instance, however. */
-    void left(RequestDigest request, UpstreamId instance, RelayedRequest by) {
-        trials.end(instance, request);
-        Set<RelayedRequest> copies = underWay.get(request);
+    void attemptEnded(RequestDigest request, UpstreamId instance, RelayedRequest by) {
+        isolation.end(instance, request);
+        Set<RelayedRequest> copies = inFlight.get(request);
         if (copies != null && copies.remove(by) && copies.isEmpty()) {
-            underWay.remove(request);
+            inFlight.remove(request);
         }
     }
 
     /** Notes that an instance has run a request to an end, and lives on. */
-    void endedWell(RequestDigest request) {
-        ledger.recordHarmlessEnd(request).ifPresent(this::tell);
+    void requestCompleted(RequestDigest request) {
+        ledger.recordHarmlessEnd(request).ifPresent(this::publishAcquittal);
     }
 
     /**
@@ -120,19 +120,19 @@
      *
      * @param sentAt when the request was sent, on the process's clock in nanoseconds
      */
-    void brokeOff(RequestDigest request, Instance instance, long sentAt, Runnable goOn) {
-        if (pauses.pausedSince(sentAt, BootClock.nanos()) || isExpected(instance)) {
+    void attemptInterrupted(RequestDigest request, Instance instance, long sentAt, Runnable goOn) {
+        if (pauseDetector.pausedSince(sentAt, BootClock.nanos()) || isExpectedToEnd(instance)) {
             goOn.run();
             return;
         }
-        lives.ask(
+        crashProbe.check(
                 instance,
                 ended -> {
-                    unexplained.recordInterrupted(instance.id(), request, BootClock.nanos());
+                    unconfirmedCrashes.recordInterrupted(instance.id(), request, BootClock.nanos());
                     if (ended) {
-                        ended(instance.id());
+                        incarnationCrashed(instance.id());
                     } else {
-                        lives.askAgain(instance, () -> ended(instance.id()));
+                        crashProbe.checkLater(instance, () -> incarnationCrashed(instance.id()));
                     }
                     goOn.run();
                 });
@@ -142,15 +142,15 @@
      * Notes that a request is given up whose instance may run it. The instance may end under it
      * when no connection is left to see that by.
      */
-    void abandoned(RequestDigest request, Instance instance) {
-        if (!isExpected(instance)) {
-            unexplained.recordInterrupted(instance.id(), request, BootClock.nanos());
+    void attemptAbandoned(RequestDigest request, Instance instance) {
+        if (!isExpectedToEnd(instance)) {
+            unconfirmedCrashes.recordInterrupted(instance.id(), request, BootClock.nanos());
         }
     }
 
     /** Takes in that a life of an instance is heard of. */
-    void heardOf(UpstreamId life) {
-        unexplained.confirmedBy(life, BootClock.nanos()).forEach(this::crashed);
+    void instanceAnnounced(UpstreamId life) {
+        unconfirmedCrashes.confirmedBy(life, BootClock.nanos()).forEach(this::recordCrash);
     }
 
     /** Takes in what a control host tells. */
@@ -159,7 +159,7 @@
         for (CrashRecord record : notice.getCrashesList()) {
             Crash crash = CrashCodec.decode(record);
             ledger.recordCrash(crash, now);
-            ended(crash.incarnation());
+            incarnationCrashed(crash.incarnation());
         }
         for (AcquittalRecord record : notice.getAcquittalsList()) {
             ledger.applyAcquittal(CrashCodec.decode(record));
@@ -170,11 +170,11 @@
                     .forEach(request -> logger.info("request.sentenced digest={}", request));
             ledger.liftSentences(CrashCodec.decode(notice.getSentenced().getLiftedList()));
         }
-        stopCondemned();
+        abortCondemned();
     }
 
     /** Returns all that this host knows, for a control host that may know nothing. */
-    Optional<Frame> whole() {
+    Optional<Frame> fullNotice() {
         List<CrashRecord> all = ledger.crashes().stream().map(CrashCodec::encode).toList();
         return all.isEmpty()
                 ? Optional.empty()
@@ -183,23 +183,23 @@
 
     /** Notes that the process runs. */
     void tick() {
-        pauses.tick(BootClock.nanos());
+        pauseDetector.tick(BootClock.nanos());
     }
 
     /** Forgets what no longer counts. */
     void sweep() {
         ledger.sweep(BootClock.nanos());
-        lives.sweep();
+        crashProbe.sweep();
     }
 
     /** Brings the measures of the present state up to date. */
-    void measure() {
+    void updateMetrics() {
         metrics.state("suspects", ledger.size());
         metrics.state("refused_requests", ledger.condemned(BootClock.nanos()).size());
     }
 
     /** What drains, or has said that it ends, ends as planned. */
-    private boolean isExpected(Instance instance) {
+    private boolean isExpectedToEnd(Instance instance) {
         return dispatcher
                 .find(instance.id())
                 .filter(known -> known.state() == InstanceState.READY)
@@ -207,14 +207,14 @@
     }
 
     /** Holds the end of a life against what left it just before. */
-    private void ended(UpstreamId life) {
-        Set<RequestDigest> those = unexplained.takeRequests(life, BootClock.nanos());
+    private void incarnationCrashed(UpstreamId life) {
+        Set<RequestDigest> those = unconfirmedCrashes.takeRequests(life, BootClock.nanos());
         if (!those.isEmpty()) {
-            crashed(new Crash(life, those));
+            recordCrash(new Crash(life, those));
         }
     }
 
-    private void crashed(Crash crash) {
+    private void recordCrash(Crash crash) {
         long now = BootClock.nanos();
         if (!ledger.recordCrash(crash, now)) {
             return;
@@ -229,10 +229,10 @@
         }
         toControlHosts.accept(
                 CrashCodec.frame(CrashCodec.notice().addCrashes(CrashCodec.encode(crash))));
-        stopCondemned();
+        abortCondemned();
     }
 
-    private void tell(Acquittal acquittal) {
+    private void publishAcquittal(Acquittal acquittal) {
         logger.info(
                 "request.acquitted digest={} lives={}",
                 acquittal.request(),
@@ -242,12 +242,12 @@
     }
 
     /** Copies that are under way when a request is condemned may not have begun to run yet. */
-    private void stopCondemned() {
+    private void abortCondemned() {
         long now = BootClock.nanos();
-        for (RequestDigest request : List.copyOf(underWay.keySet())) {
+        for (RequestDigest request : List.copyOf(inFlight.keySet())) {
             if (ledger.standing(request, now) instanceof Standing.Condemned) {
-                Set.copyOf(underWay.getOrDefault(request, Set.of()))
-                        .forEach(RelayedRequest::stopCondemned);
+                Set.copyOf(inFlight.getOrDefault(request, Set.of()))
+                        .forEach(RelayedRequest::abortCondemned);
             }
         }
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RelayedRequest.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RelayedRequest.java
@@ -28,7 +28,7 @@
     private final AnswerWriter answers;
     private final RequestDigest digest;
     private final RequestLog log;
-    private final FinalAnswer last;
+    private final FinalAnswer finalAnswer;
     private final AttemptHistory history = new AttemptHistory();
     private Route route;
     private Need need;
@@ -36,7 +36,7 @@
     private RequestRights rights;
     private long waitingSince;
     private long sentAt;
-    private WaitReason waitsFor = WaitReason.NOTHING;
+    private WaitReason waitReason = WaitReason.NOTHING;
     private Admission admission;
     private boolean ended;
     private final StreamedAnswer stream;
@@ -49,15 +49,16 @@
         this.answers = answers;
         this.digest = request.digest();
         this.log = new RequestLog(gateway, request, digest);
-        this.timer = new RequestTimer(gateway.loop(), this::outOfTime);
+        this.timer = new RequestTimer(gateway.loop(), this::timeOut);
         this.stream = new StreamedAnswer(answers, log);
-        this.last = new FinalAnswer(gateway, request, answers, log, history, stream, this::close);
+        this.finalAnswer =
+                new FinalAnswer(gateway, request, answers, log, history, stream, this::close);
     }
 
     /** Begins to work on the request, or goes on once the first routes are known. */
     void start() {
         timer.cancel();
-        if (!gateway.knowsRoutes()) {
+        if (!gateway.hasRoutes()) {
             awaitRoutes();
             return;
         }
@@ -65,27 +66,27 @@
         Optional<Route> found = gateway.routes().find(host, request.target());
         if (found.isEmpty()) {
             log.noRoute(host, request.target(), gateway.routes().version());
-            last.finish(HttpResponseStatus.NOT_FOUND, "no route leads here");
+            finalAnswer.fail(HttpResponseStatus.NOT_FOUND, "no route leads here");
             return;
         }
         route = found.get();
         log.route(route.name());
-        history.allow(route);
+        history.applyRoute(route);
         times = RequestTimes.of(request, route);
         timer.at(times.deadlineAt());
-        rights = new RequestRights(gateway.customers(), request, route, this::tryAgain);
+        rights = new RequestRights(gateway.customers(), request, route, this::reconsider);
         if (rights.judge() instanceof Right.Refused refused) {
-            last.deny(refused);
+            finalAnswer.deny(refused);
             return;
         }
         log.customer(rights.customer());
-        need = request.need(route.chooseService(gateway.ticket()), rights.rank());
-        last.about(need);
+        need = request.need(route.chooseService(gateway.drawTicket()), rights.rank());
+        finalAnswer.setNeed(need);
         admission = newAdmission();
-        gateway.arrived(need);
+        gateway.requestArrived(need);
         waitingSince = BootClock.nanos();
-        if (!tryToSend()) {
-            gateway.waits(this);
+        if (!trySend()) {
+            gateway.addWaiting(this);
         }
     }
 
@@ -93,8 +94,8 @@
     private void awaitRoutes() {
         long now = BootClock.nanos();
         FirstRoutes first = gateway.firstRoutes();
-        if (gateway.closing() || !first.worthWaiting(request, now)) {
-            last.refuse("no configuration is known yet", first.retryAfter(now));
+        if (gateway.isClosing() || !first.worthWaiting(request, now)) {
+            finalAnswer.refuse("no configuration is known yet", first.retryAfter(now));
             return;
         }
         timer.at(first.latest(request));
@@ -107,7 +108,7 @@
     }
 
     /** Returns whether an answer can only be late. */
-    boolean late(long now) {
+    boolean isLate(long now) {
         return times.late(now);
     }
 
@@ -121,88 +122,91 @@
      *
      * @return whether it no longer waits
      */
-    boolean tryToSend() {
+    boolean trySend() {
         if (ended || attempt != null) {
             return true;
         }
-        if (gateway.closing()) {
-            last.giveUp("this host is about to stop", Duration.ZERO);
+        if (gateway.isClosing()) {
+            finalAnswer.giveUp("this host is about to stop", Duration.ZERO);
             return true;
         }
         Right right = rights.judge();
         if (right instanceof Right.Refused refused) {
-            last.deny(refused);
+            finalAnswer.deny(refused);
             return true;
         }
         long now = BootClock.nanos();
         Standing standing = gateway.quarantine().standing(digest, now);
         if (standing instanceof Standing.Condemned(Duration left)) {
-            last.giveUp("instances end under it", left);
+            finalAnswer.giveUp("instances end under it", left);
             return true;
         }
         Choice choice =
-                gateway.choose(standing, digest, need, history.allowed(), times.left(now), now);
-        int ahead = waitsInTurn(choice) ? gateway.waitingBefore(this) : 0;
+                gateway.choose(
+                        standing, digest, need, history.allowedInstances(), times.left(now), now);
+        int ahead = isQueued(choice) ? gateway.countWaitingBefore(this) : 0;
         if (choice instanceof Choice.HeldBack held) {
             log.heldBack(held, ahead);
         }
         switch (admission.decide(choice, ahead, now)) {
             case Verdict.Send(Instance instance, String why) -> {
                 if (right instanceof Right.Awaited || !rights.fresh()) {
-                    waitsFor = WaitReason.ALLOWANCE;
+                    waitReason = WaitReason.ALLOWANCE;
                     return false;
                 }
                 send(instance, why);
             }
             case Verdict.GiveUp(String reason, Duration retryAfter) -> {
                 if (choice instanceof Choice.HeldBack held) {
-                    log.turnedBack(held);
+                    log.refusedWhileHeldBack(held);
                 }
-                last.giveUp(reason, gateway.dispatcher().retryAfter(choice, retryAfter, now));
+                finalAnswer.giveUp(
+                        reason, gateway.dispatcher().retryAfter(choice, retryAfter, now));
             }
             case Verdict.WaitForAdapter(Instance instance) -> {
                 gateway.notices().wantAdapter(instance, need);
-                waitsFor = WaitReason.ADAPTER;
+                waitReason = WaitReason.ADAPTER;
                 return false;
             }
             case Verdict.Wait(WaitReason reason) -> {
-                waitsFor = reason;
+                waitReason = reason;
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean waitsInTurn(Choice choice) {
+    private static boolean isQueued(Choice choice) {
         return choice instanceof Choice.Full || choice instanceof Choice.HeldBack;
     }
 
     /** Ends a copy of a request that is refused by now, if it may not have begun to run yet. */
-    void stopCondemned() {
+    void abortCondemned() {
         if (!ended && !stream.begun() && attempt != null) {
-            last.finish(HttpResponseStatus.BAD_GATEWAY, "instances end under it; it may have run");
+            finalAnswer.fail(
+                    HttpResponseStatus.BAD_GATEWAY, "instances end under it; it may have run");
         }
     }
 
     /** Tries again a request that waits. */
-    void tryAgain() {
-        if (tryToSend()) {
-            gateway.waitsNoMore(this);
+    void reconsider() {
+        if (trySend()) {
+            gateway.removeWaiting(this);
         }
     }
 
     /** The caller has closed its connection. */
-    void callerLeft() {
+    void callerDisconnected() {
         if (!ended) {
-            log.callerLeft(history.sends());
+            log.callerDisconnected(history.sendCount());
             close();
         }
     }
 
     /** The caller takes more, or cannot take more now. */
-    void writable(boolean yes) {
+    void writabilityChanged(boolean yes) {
         if (attempt != null) {
-            attempt.reading(yes);
+            attempt.setReading(yes);
         }
     }
 
@@ -212,18 +216,20 @@
 
     private void send(Instance instance, String why) {
         long now = BootClock.nanos();
-        if (history.sends() > 0 && !gateway.mayResend(need.service(), now)) {
-            last.giveUp("too many requests are sent a second time", FinalAnswer.SOON);
+        if (history.sendCount() > 0 && !gateway.tryAcquireRetry(need.service(), now)) {
+            finalAnswer.giveUp(
+                    "too many requests are sent a second time", FinalAnswer.SHORT_RETRY_DELAY);
             return;
         }
         rights.use();
         attempt = new UpstreamAttempt(gateway, instance, need, route.kind(), this);
         double load = gateway.dispatcher().occupancy(instance.id(), now);
-        log.sent(need, instance, history.sends() + 1, why, now - waitingSince, waitsFor, load);
+        log.sent(
+                need, instance, history.sendCount() + 1, why, now - waitingSince, waitReason, load);
         long leftMillis = TimeUnit.NANOSECONDS.toMillis(deadlineAt() - now);
         sentAt = now;
-        gateway.quarantine().sent(digest, instance, this);
-        attempt.begin(
+        gateway.quarantine().attemptStarted(digest, instance, this);
+        attempt.start(
                 RequestCopy.of(
                         request,
                         need,
@@ -235,48 +241,48 @@
                 request.id());
     }
 
-    private void outOfTime() {
+    private void timeOut() {
         if (!ended) {
-            last.outOfTime();
+            finalAnswer.timeOut();
         }
     }
 
     private void close() {
         ended = true;
         timer.cancel();
-        gateway.gone(this);
+        gateway.requestEnded(this);
         if (rights != null) {
             rights.close(history.mayHaveRun() || stream.begun() || attempt != null);
         }
         if (attempt != null) {
             attempt.abandon();
-            gateway.quarantine().abandoned(digest, endAttempt());
+            gateway.quarantine().attemptAbandoned(digest, endAttempt());
         }
     }
 
     private Instance endAttempt() {
         Instance instance = attempt.instance();
         attempt = null;
-        gateway.quarantine().left(digest, instance.id(), this);
+        gateway.quarantine().attemptEnded(digest, instance.id(), this);
         return instance;
     }
 
     @Override
     public void sending() {
-        history.sent(attempt.instance().id());
+        history.recordSent(attempt.instance().id());
     }
 
     @Override
     public void event(HttpResponse head, EventAssembler.Event event) {
-        gateway.quarantine().begun(digest, attempt.instance().id());
+        gateway.quarantine().answerBegun(digest, attempt.instance().id());
         stream.event(head, event);
     }
 
     @Override
     public void streamEnded(HttpResponse head, ByteBuf rest) {
-        log.answered(head.status().code(), stream.lastEvent(), history.sends());
+        log.answered(head.status().code(), stream.lastEvent(), history.sendCount());
         endAttempt();
-        gateway.quarantine().endedWell(digest);
+        gateway.quarantine().requestCompleted(digest);
         stream.rest(head, rest);
         close();
         answers.end();
@@ -285,13 +291,13 @@
     @Override
     public void answered(HttpResponse head, ByteBuf body) {
         Instance instance = endAttempt();
-        if (Answers.saysNotRun(head)) {
-            notRun(instance, head);
+        if (Answers.reportsNotRun(head)) {
+            handleNotRun(instance, head);
             return;
         }
-        log.answered(head.status().code(), stream.lastEvent(), history.sends());
-        gateway.quarantine().endedWell(digest);
-        history.ran();
+        log.answered(head.status().code(), stream.lastEvent(), history.sendCount());
+        gateway.quarantine().requestCompleted(digest);
+        history.recordMayHaveRun();
         boolean failed = head.status().codeClass() == HttpStatusClass.SERVER_ERROR;
         if (failed) {
             gateway.dispatcher().requestFailed(instance.id());
@@ -299,15 +305,15 @@
             gateway.dispatcher().requestSucceeded(instance.id());
         }
         if (stream.begun()) {
-            resume(instance);
-        } else if (failed && mayGoOn()) {
-            goOn(instance, "the instance failed");
-        } else if (Answers.looksLikeRefusal(head.status())) {
-            last.finish(
+            resumeOrFail(instance);
+        } else if (failed && mayContinue()) {
+            tryNextInstance(instance, "the instance failed");
+        } else if (Answers.impliesNotRun(head.status())) {
+            finalAnswer.fail(
                     HttpResponseStatus.BAD_GATEWAY, "the instance gave up, and may have run it");
         } else {
             close();
-            answers.answer(Answers.whole(head, body));
+            answers.answer(Answers.full(head, body));
         }
     }
 
@@ -316,70 +322,74 @@
         Instance instance = endAttempt();
         log.attemptFailed(instance, failure.sent(), failure.reason(), stream.lastEvent());
         if (failure.stage() == CallFailure.Stage.WITHDRAWN) {
-            again("the instance wants nothing any more");
+            requeue("the instance wants nothing any more");
             return;
         }
         if (!failure.sent()) {
             gateway.notices().unreachable(instance, failure.stage());
-            goOn(instance, "the instance cannot be reached");
+            tryNextInstance(instance, "the instance cannot be reached");
             return;
         }
-        history.ran();
-        if (!mayGoOn()) {
-            last.endBroken();
+        history.recordMayHaveRun();
+        if (!mayContinue()) {
+            finalAnswer.failInterrupted();
         }
         gateway.quarantine()
-                .brokeOff(digest, instance, sentAt, () -> goOn(instance, FinalAnswer.BROKE_OFF));
+                .attemptInterrupted(
+                        digest,
+                        instance,
+                        sentAt,
+                        () -> tryNextInstance(instance, FinalAnswer.INTERRUPTED));
     }
 
-    private boolean mayGoOn() {
-        return history.mayGoOn(stream.begun(), stream.lastEvent().isPresent());
+    private boolean mayContinue() {
+        return history.mayContinue(stream.begun(), stream.lastEvent().isPresent());
     }
 
-    private void goOn(Instance instance, String reason) {
+    private void tryNextInstance(Instance instance, String reason) {
         if (!ended) {
-            history.giveUp(instance.id());
-            again(reason);
+            history.exclude(instance.id());
+            requeue(reason);
         }
     }
 
-    private void notRun(Instance instance, HttpResponse head) {
+    private void handleNotRun(Instance instance, HttpResponse head) {
         log.notRun(instance, head.status().code());
-        history.notRun(instance.id());
+        history.recordNotRun(instance.id());
         boolean rests = gateway.dispatcher().isResting(instance.id(), BootClock.nanos());
         if (!rests) {
             gateway.dispatcher().requestRejected(instance.id(), need, BootClock.nanos());
         }
-        boolean comes = need.adapter().isPresent() && history.adapterMayCome();
+        boolean comes = need.adapter().isPresent() && history.tryAcquireAdapterRetry();
         if (stream.begun()) {
-            resume(instance);
+            resumeOrFail(instance);
         } else if (rests) {
-            again("the instance wants rest");
+            requeue("the instance wants rest");
         } else if (comes) {
-            again("its adapter is on its way");
+            requeue("its adapter is on its way");
         } else {
-            goOn(instance, "the instance did not run it");
+            tryNextInstance(instance, "the instance did not run it");
         }
     }
 
-    private void resume(Instance instance) {
-        if (mayGoOn()) {
-            goOn(instance, FinalAnswer.BROKE_OFF);
+    private void resumeOrFail(Instance instance) {
+        if (mayContinue()) {
+            tryNextInstance(instance, FinalAnswer.INTERRUPTED);
         } else {
-            last.endBroken();
+            finalAnswer.failInterrupted();
         }
     }
 
-    private void again(String reason) {
+    private void requeue(String reason) {
         if (BootClock.nanos() - deadlineAt() >= 0) {
-            last.giveUp(reason, FinalAnswer.SOON);
+            finalAnswer.giveUp(reason, FinalAnswer.SHORT_RETRY_DELAY);
             return;
         }
         waitingSince = BootClock.nanos();
-        waitsFor = WaitReason.NOTHING;
+        waitReason = WaitReason.NOTHING;
         admission = newAdmission();
-        if (!tryToSend()) {
-            gateway.waits(this);
+        if (!trySend()) {
+            gateway.addWaiting(this);
         }
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestLog.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestLog.java
@@ -23,18 +23,18 @@
 
     private static final Logger logger = LogManager.getLogger(RequestLog.class);
 
-    private final LineBudget lines;
+    private final LineBudget lineBudget;
     private final FleetMetrics metrics;
     private final String id;
     private final RequestDigest digest;
     private final long arrivedAt;
     private String route = "none";
     private String customer = "";
-    private long firstMillis = -1;
+    private long firstByteMillis = -1;
     private final Set<WaitReason> heldBackFor = EnumSet.noneOf(WaitReason.class);
 
     RequestLog(Gateway gateway, CallerRequest request, RequestDigest digest) {
-        this.lines = gateway.lines();
+        this.lineBudget = gateway.lineBudget();
         this.metrics = gateway.metrics();
         this.id = request.id();
         this.digest = digest;
@@ -53,7 +53,7 @@
 
     void noRoute(String host, String target, long routesVersion) {
         metrics.requestEnded(route, "no-route");
-        long leftOut = lines.take(LineBudget.Kind.FAILED, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.FAILED, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "request.no-route id={} host={} target={} routesVersion={} leftOut={}",
@@ -75,7 +75,7 @@
             WaitReason waitedFor,
             double load) {
         metrics.reached("send", waitedNanos);
-        long leftOut = lines.take(LineBudget.Kind.SENT, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.SENT, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "request.sent id={} digest={} instance={} service={} model={} adapter={}"
@@ -104,7 +104,7 @@
             return;
         }
         countHeldBack(held, "held");
-        long leftOut = lines.take(LineBudget.Kind.ATTEMPT, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.ATTEMPT, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "{} id={} instance={} expectedMs={} ageMs={} leftOut={}",
@@ -118,7 +118,7 @@
     }
 
     /** Notes that it is about to be refused since such an instance takes no more in time. */
-    void turnedBack(Choice.HeldBack held) {
+    void refusedWhileHeldBack(Choice.HeldBack held) {
         countHeldBack(held, "refused");
     }
 
@@ -130,8 +130,8 @@
     }
 
     /** Notes that the answer has begun to come. */
-    void begun() {
-        firstMillis = ageMillis();
+    void answerBegun() {
+        firstByteMillis = ageMillis();
         metrics.reached("first", BootClock.nanos() - arrivedAt);
     }
 
@@ -139,7 +139,7 @@
         metrics.requestEnded(route, "answered");
         metrics.customerRequest(customer, "answered");
         metrics.reached("end", BootClock.nanos() - arrivedAt);
-        long leftOut = lines.take(LineBudget.Kind.ANSWERED, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.ANSWERED, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "request.answered id={} status={} lastEvent={} firstMs={} ageMs={} sends={}"
@@ -147,7 +147,7 @@
                     id,
                     status,
                     lastEvent,
-                    firstMillis,
+                    firstByteMillis,
                     ageMillis(),
                     sends,
                     leftOut);
@@ -156,7 +156,7 @@
 
     void notRun(Instance instance, int status) {
         metrics.attemptEnded(instance.service().value(), "not-run");
-        long leftOut = lines.take(LineBudget.Kind.ATTEMPT, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.ATTEMPT, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "attempt.not-run id={} instance={} status={} ageMs={} leftOut={}",
@@ -171,7 +171,7 @@
     void attemptFailed(Instance instance, boolean sent, String reason, OptionalLong lastEvent) {
         String ending = sent ? "broke-off" : "unreached";
         metrics.attemptEnded(instance.service().value(), ending);
-        long leftOut = lines.take(LineBudget.Kind.ATTEMPT, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.ATTEMPT, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "attempt.failed id={} digest={} instance={} sent={} reason={} lastEvent={}"
@@ -190,7 +190,7 @@
     void refused(Need need, String reason, Duration retryAfter, int sends, long routesVersion) {
         metrics.requestEnded(route, "refused");
         metrics.customerRequest(customer, "refused");
-        long leftOut = lines.take(LineBudget.Kind.FAILED, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.FAILED, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "request.refused id={} digest={} reason={} retryAfterMs={} service={} model={}"
@@ -215,7 +215,7 @@
     void failed(int status, String reason, int sends) {
         metrics.requestEnded(route, "failed");
         metrics.customerRequest(customer, "failed");
-        long leftOut = lines.take(LineBudget.Kind.FAILED, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.FAILED, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "request.failed id={} status={} reason={} ageMs={} sends={} customer={}"
@@ -230,9 +230,9 @@
         }
     }
 
-    void brokenOff(String reason, OptionalLong lastEvent, int sends) {
+    void aborted(String reason, OptionalLong lastEvent, int sends) {
         metrics.requestEnded(route, "broken-off");
-        long leftOut = lines.take(LineBudget.Kind.FAILED, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.FAILED, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "request.broken-off id={} reason={} lastEvent={} ageMs={} sends={} leftOut={}",
@@ -245,9 +245,9 @@
         }
     }
 
-    void callerLeft(int sends) {
+    void callerDisconnected(int sends) {
         metrics.requestEnded(route, "caller-left");
-        long leftOut = lines.take(LineBudget.Kind.LEFT, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.LEFT, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "request.caller-left id={} ageMs={} sends={} leftOut={}",
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RoutesFollower.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RoutesFollower.java
@@ -90,7 +90,7 @@
                 trust.reported(),
                 trust.confirmed());
         Either<Finding, RouteTable> decoded = ConfigurationDecoder.decode(body);
-        decoded.peek(gateway::routes)
+        decoded.peek(gateway::setRoutes)
                 .peekLeft(
                         finding ->
                                 logger.error(
@@ -121,7 +121,7 @@
     }
 
     private long inForce() {
-        return gateway.knowsRoutes() ? gateway.routes().version() : -1;
+        return gateway.hasRoutes() ? gateway.routes().version() : -1;
     }
 
     private void take(RoutesUpdate update, long now) {
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/StreamedAnswer.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/StreamedAnswer.java
@@ -47,7 +47,7 @@
     void rest(HttpResponse head, ByteBuf bytes) {
         if (!begun) {
             begun = true;
-            log.begun();
+            log.answerBegun();
             answers.begin(Answers.head(head));
         }
         answers.part(bytes);
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamAttempt.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamAttempt.java
@@ -24,14 +24,14 @@
     private final Instance instance;
     private final boolean stream;
     private final AttemptListener listener;
-    private final InFlightRequest sending;
-    private final LimitRevision limitKnown;
+    private final InFlightRequest inFlight;
+    private final LimitRevision limitRevision;
     private final EventAssembler events = new EventAssembler();
     private UpstreamCall call;
     private HttpResponse head;
-    private ByteBuf plainBody;
-    private boolean over;
-    private boolean firstSeen;
+    private ByteBuf body;
+    private boolean abandoned;
+    private boolean firstEventSeen;
 
     /**
      * Creates an attempt that counts as the instance's work from now on.
@@ -48,11 +48,11 @@
         this.instance = instance;
         this.stream = kind == RouteKind.STREAM;
         this.listener = listener;
-        this.sending = gateway.dispatcher().requestSent(instance.id(), need, BootClock.nanos());
-        this.limitKnown = gateway.upstreamLimits().sent(instance.id());
+        this.inFlight = gateway.dispatcher().requestSent(instance.id(), need, BootClock.nanos());
+        this.limitRevision = gateway.upstreamLimits().sent(instance.id());
     }
 
-    void begin(FullHttpRequest request, String requestId) {
+    void start(FullHttpRequest request, String requestId) {
         call =
                 gateway.upstreams()
                         .send(Address.parse(instance.address()), request, requestId, this);
@@ -60,15 +60,15 @@
 
     /** Ends the attempt, breaking the call off where it is not over. */
     void abandon() {
-        over = true;
-        gateway.dispatcher().requestEnded(sending, BootClock.nanos());
+        abandoned = true;
+        gateway.dispatcher().requestEnded(inFlight, BootClock.nanos());
         if (call != null) {
             call.cancel();
         }
     }
 
     /** Stops or resumes reading the answer. */
-    void reading(boolean wanted) {
+    void setReading(boolean wanted) {
         if (call != null) {
             call.reading(wanted);
         }
@@ -92,7 +92,7 @@
     public void answered(HttpResponse answer) {
         head = answer;
         long now = BootClock.nanos();
-        gateway.upstreamWords().heard(instance.id(), answer, limitKnown);
+        gateway.upstreamAnnouncements().heard(instance.id(), answer, limitRevision);
         AnswerHeaders.load(answer.headers()::get)
                 .ifPresent(
                         load ->
@@ -103,28 +103,28 @@
                                                 now));
         boolean good = answer.status().codeClass() == HttpStatusClass.SUCCESS;
         if (!good) {
-            gateway.dispatcher().errorResponseStarted(sending, !Answers.saysNotRun(answer));
+            gateway.dispatcher().errorResponseStarted(inFlight, !Answers.reportsNotRun(answer));
         } else if (!stream) {
-            gateway.dispatcher().responseStarted(sending, now);
+            gateway.dispatcher().responseStarted(inFlight, now);
         }
         if (!good || !stream) {
-            plainBody = Unpooled.buffer();
+            body = Unpooled.buffer();
         }
     }
 
     @Override
     public void received(ByteBuf part) {
-        if (plainBody != null) {
-            plainBody.writeBytes(part);
+        if (body != null) {
+            body.writeBytes(part);
             return;
         }
         events.add(part);
         EventAssembler.Event event = events.next();
-        while (event != null && !over) {
-            gateway.dispatcher().responseStarted(sending, BootClock.nanos());
-            if (!firstSeen) {
-                firstSeen = true;
-                gateway.promptRead();
+        while (event != null && !abandoned) {
+            gateway.dispatcher().responseStarted(inFlight, BootClock.nanos());
+            if (!firstEventSeen) {
+                firstEventSeen = true;
+                gateway.promptProcessed();
             }
             listener.event(head, event);
             event = events.next();
@@ -133,9 +133,9 @@
 
     @Override
     public void completed() {
-        gateway.dispatcher().requestEnded(sending, BootClock.nanos());
-        if (plainBody != null) {
-            listener.answered(head, plainBody);
+        gateway.dispatcher().requestEnded(inFlight, BootClock.nanos());
+        if (body != null) {
+            listener.answered(head, body);
         } else {
             gateway.dispatcher().requestSucceeded(instance.id());
             listener.streamEnded(head, events.rest());
@@ -146,9 +146,9 @@
     public void failed(CallFailure failure) {
         long now = BootClock.nanos();
         if (failure.sent()) {
-            gateway.dispatcher().requestEnded(sending, now);
+            gateway.dispatcher().requestEnded(inFlight, now);
         } else {
-            gateway.dispatcher().requestNotWritten(sending, now);
+            gateway.dispatcher().requestNotWritten(inFlight, now);
         }
         if (failure.stage() != CallFailure.Stage.WITHDRAWN) {
             gateway.dispatcher().connectionFailed(instance.id(), now);
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/WaitingRequests.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/WaitingRequests.java
@@ -60,7 +60,7 @@
     }
 
     private static Comparator<RelayedRequest> order(long now) {
-        return Comparator.comparing((RelayedRequest request) -> request.late(now))
+        return Comparator.comparing((RelayedRequest request) -> request.isLate(now))
                 .thenComparingInt(request -> request.need().rank())
                 .thenComparingLong(RelayedRequest::deadlineAt);
     }
@@ -77,7 +77,7 @@
             inOrder.sort(order(BootClock.nanos()));
             for (RelayedRequest request : inOrder) {
                 if (requests.contains(request)) {
-                    request.tryAgain();
+                    request.reconsider();
                 }
             }
         } finally {
