--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RelayedRequest.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RelayedRequest.java
@@ -70,7 +70,7 @@
             return;
         }
         route = found.get();
-        log.route(route.name());
+        log.setRoute(route.name());
         history.applyRoute(route);
         times = RequestTimes.of(request, route);
         timer.at(times.deadlineAt());
@@ -79,7 +79,7 @@
             finalAnswer.deny(refused);
             return;
         }
-        log.customer(rights.customer());
+        log.setCustomer(rights.customer());
         need = request.need(route.chooseService(gateway.drawTicket()), rights.rank());
         finalAnswer.setNeed(need);
         admission = newAdmission();
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestLog.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestLog.java
@@ -42,12 +42,12 @@
     }
 
     /** Notes which route the request takes. */
-    void route(String name) {
+    void setRoute(String name) {
         route = name;
     }
 
     /** Notes whose request it is. */
-    void customer(Optional<Customer> holder) {
+    void setCustomer(Optional<Customer> holder) {
         customer = holder.map(one -> one.id().value()).orElse("");
     }
 
