--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/Answers.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/Answers.java
@@ -17,12 +17,12 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Makes the answers that callers get. */
+/** Creates the HTTP responses that callers receive. */
 final class Answers {
 
     private static final double MILLIS_PER_SECOND = 1000.0;
 
-    /** Headers that concern one connection, and those that this host sets itself. */
+    /** Headers that are not relayed: hop-by-hop headers, and those that this host sets itself. */
     private static final List<CharSequence> CONNECTION_HEADERS =
             List.of(
                     HttpHeaderNames.CONNECTION,
@@ -37,7 +37,7 @@
 
     private Answers() {}
 
-    /** Returns a failure of this system's own. */
+    /** Returns an error answer that does not come from an upstream. */
     static FullHttpResponse failure(HttpResponseStatus status, String reason, String requestId) {
         byte[] body =
                 ("{\"error\":\"" + reason.replace('"', '\'') + "\"}")
@@ -52,7 +52,7 @@
         return response;
     }
 
-    /** Returns a refusal of a request that has not run. */
+    /** Returns an error answer with Retry-After for a request that has not run. */
     static FullHttpResponse refusal(
             HttpResponseStatus status, String reason, String requestId, Duration retryAfter) {
         FullHttpResponse response = failure(status, reason, requestId);
@@ -61,20 +61,20 @@
         return response;
     }
 
-    /** Returns whether an upstream says that it has not run the request. */
+    /** Returns whether an upstream reports that it has not run the request. */
     static boolean reportsNotRun(HttpResponse head) {
         return head.headers().contains(Headers.NOT_RUN)
                 || head.status().equals(HttpResponseStatus.MISDIRECTED_REQUEST);
     }
 
-    /** Returns whether callers read a status as the promise that their request has not run. */
+    /** Returns whether callers interpret a status as a promise that their request has not run. */
     static boolean impliesNotRun(HttpResponseStatus status) {
         return status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                 || status.equals(HttpResponseStatus.TOO_MANY_REQUESTS)
                 || status.equals(HttpResponseStatus.REQUEST_TIMEOUT);
     }
 
-    /** Returns an upstream's answer with its whole body. */
+    /** Returns an upstream's answer with its full body, without hop-by-hop headers. */
     static FullHttpResponse full(HttpResponse head, ByteBuf body) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, head.status(), body);
@@ -82,14 +82,14 @@
         return response;
     }
 
-    /** Returns the head of an upstream's answer. */
+    /** Returns the head of an upstream's answer, without hop-by-hop headers. */
     static HttpResponse head(HttpResponse head) {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status());
         copyHeaders(head.headers(), response.headers());
         return response;
     }
 
-    /** Copies the headers that do not concern one connection alone. */
+    /** Copies headers except hop-by-hop ones, which include those that Connection lists. */
     static void copyHeaders(HttpHeaders from, HttpHeaders to) {
         to.add(from);
         for (String named : from.getAll(HttpHeaderNames.CONNECTION)) {
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/AttemptHistory.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/AttemptHistory.java
@@ -6,10 +6,13 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** Where one request has been sent, and so where it may still be sent. */
+/** The attempts of one request so far, and the further attempts that its route permits. */
 final class AttemptHistory {
 
-    /** An adapter that was ordered arrives within some ten milliseconds, or not at all. */
+    /**
+     * Refusals for lack of an adapter after which it is no longer waited for. An adapter that was
+     * ordered is loaded within some ten milliseconds, or not at all.
+     */
     private static final int MAX_ADAPTER_REFUSALS = 2;
 
     private final Set<UpstreamId> sentTo = new HashSet<>();
@@ -21,7 +24,7 @@
     private int adapterRefusals;
     private boolean mayHaveRun;
 
-    /** Takes in what a request's route allows. */
+    /** Applies the limits that the request's route sets. */
     void applyRoute(Route route) {
         maxAttempts = route.maxAttempts();
         repeatable = route.repeatable();
@@ -29,62 +32,69 @@
     }
 
     /**
-     * Returns whether another instance may take up what broke off.
+     * Returns whether another instance may continue an interrupted attempt.
      *
-     * @param begun whether the caller has got a part of a stream
-     * @param atEvent whether that part ends with a whole event
+     * @param begun whether the caller has received a part of a stream
+     * @param atEvent whether that part ends with a complete event
      */
     boolean mayContinue(boolean begun, boolean atEvent) {
-        boolean may = begun ? resumable && atEvent : repeatable;
-        return may && hasAttemptsLeft();
+        boolean permitted = begun ? resumable && atEvent : repeatable;
+        return permitted && hasAttemptsLeft();
     }
 
-    /** Notes that its bytes are written to an instance; one that was not reached does not count. */
+    /**
+     * Records that the request is written to an instance. An instance that could not be reached
+     * does not count as an attempt.
+     */
     void recordSent(UpstreamId id) {
         sentTo.add(id);
         sendCount++;
     }
 
-    /** Notes that an instance says that it has not run it: that does not count as an attempt. */
+    /**
+     * Records that an instance has reported that it did not run the request, which does not count
+     * as an attempt.
+     */
     void recordNotRun(UpstreamId id) {
         sentTo.remove(id);
     }
 
-    /** Notes that an instance has run it, or may have. */
+    /** Records that an instance has run the request, or may have. */
     void recordMayHaveRun() {
         mayHaveRun = true;
     }
 
-    /** Returns whether it may have run. */
+    /** Returns whether any instance may have run the request. */
     boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** Notes that an instance is not to be tried again. */
+    /** Excludes an instance from further attempts. */
     void exclude(UpstreamId id) {
         excluded.add(id);
     }
 
-    /** Returns whether an adapter that was refused once more is worth another try. */
+    /** Counts a refusal for lack of an adapter, and returns whether another attempt makes sense. */
     boolean tryAcquireAdapterRetry() {
         return adapterRefusals++ < MAX_ADAPTER_REFUSALS;
     }
 
-    /** Returns how often its bytes were written. */
+    /** Returns how often the request was written to an instance. */
     int sendCount() {
         return sendCount;
     }
 
-    /** Returns whether another instance may still get it. */
+    /** Returns whether the request may be sent to a further instance. */
     boolean hasAttemptsLeft() {
         return sentTo.size() < maxAttempts;
     }
 
     /**
-     * Returns which instances may get it: those that had it and were not given up, and new ones.
+     * Returns the instances that the request may be sent to: those that have received it and are
+     * not excluded, and new ones while attempts are left.
      */
     Predicate<UpstreamId> allowedInstances() {
-        boolean more = hasAttemptsLeft();
-        return id -> !excluded.contains(id) && (more || sentTo.contains(id));
+        boolean mayUseNew = hasAttemptsLeft();
+        return id -> !excluded.contains(id) && (mayUseNew || sentTo.contains(id));
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/CallerConnection.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/CallerConnection.java
@@ -31,14 +31,18 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * One caller's connection: reads a request whole, has it relayed, writes its answer, then reads the
- * next. That the caller has left is noticed at once, since the connection is read all the time.
+ * One caller's connection: reads a whole request, has it relayed, writes its answer, then continues
+ * with the next request. The connection is read all the time, so that a disconnect of the caller is
+ * noticed at once.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter implements AnswerWriter {
 
     private static final Logger logger = LogManager.getLogger(CallerConnection.class);
 
-    /** Parts of later requests that are kept while one is relayed; beyond it reading stops. */
+    /**
+     * Maximum number of messages of pipelined requests that are buffered while a request is
+     * relayed; beyond it reading stops.
+     */
     private static final int MAX_BACKLOG = 64;
 
     private final Gateway gateway;
@@ -63,7 +67,7 @@
         startTimeout(gateway.callerLimits().idleTimeout().toMillis(), this::closeIdle);
     }
 
-    /** Bytes of a request whose head is not whole yet have come. */
+    /** Called when bytes have arrived: restarts the header timeout while a head is incomplete. */
     void bytesReceived() {
         if (relayed == null && head == null && !closing) {
             startTimeout(gateway.callerLimits().headerTimeout().toMillis(), this::headTimedOut);
@@ -93,10 +97,10 @@
         backlog.forEach(ReferenceCountUtil::release);
         backlog.clear();
         gateway.connectionClosed(this);
-        RelayedRequest left = relayed;
+        RelayedRequest abandoned = relayed;
         relayed = null;
-        if (left != null) {
-            left.callerDisconnected();
+        if (abandoned != null) {
+            abandoned.callerDisconnected();
         }
     }
 
@@ -117,7 +121,7 @@
         context.close();
     }
 
-    /** Closes the connection if nothing is under way on it. */
+    /** Closes the connection if no request is in progress on it. */
     void closeIfIdle() {
         if (relayed == null && head == null) {
             context.close();
@@ -126,11 +130,11 @@
 
     @Override
     public void answer(FullHttpResponse response) {
-        boolean stays = keepAlive && !gateway.isDraining();
+        boolean staysOpen = keepAlive && !gateway.isDraining();
         HttpUtil.setContentLength(response, response.content().readableBytes());
-        setConnectionHeader(response, stays);
+        setConnectionHeader(response, staysOpen);
         relayed = null;
-        if (stays) {
+        if (staysOpen) {
             context.writeAndFlush(response);
             processBacklog();
         } else {
@@ -221,7 +225,7 @@
         try {
             content.content().readBytes(body, content.content().readableBytes());
         } catch (IOException e) {
-            throw new UncheckedIOException("memory cannot fail to be written", e);
+            throw new UncheckedIOException("cannot write to a byte array", e);
         }
         if (body.size() > gateway.callerLimits().maxBodyBytes()) {
             rejectMalformed(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long");
@@ -248,7 +252,7 @@
         relayed.start();
     }
 
-    /** Takes up what came while the last request was relayed. */
+    /** Resumes reading and processes the messages that arrived during the last request. */
     private void processBacklog() {
         context.channel().config().setAutoRead(true);
         if (backlog.isEmpty()) {
@@ -295,10 +299,10 @@
         }
     }
 
-    private static void setConnectionHeader(HttpResponse response, boolean stays) {
+    private static void setConnectionHeader(HttpResponse response, boolean staysOpen) {
         response.headers()
                 .set(
                         HttpHeaderNames.CONNECTION,
-                        stays ? HttpHeaderValues.KEEP_ALIVE : HttpHeaderValues.CLOSE);
+                        staysOpen ? HttpHeaderValues.KEEP_ALIVE : HttpHeaderValues.CLOSE);
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/CrashProbe.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/CrashProbe.java
@@ -14,20 +14,25 @@
 import java.util.function.Consumer;
 
 /**
- * Tells whether an instance that broke a request off has ended, or has only lost a connection: in
- * the first case nobody listens at its address any more.
+ * Determines whether an instance that interrupted a request has crashed or has only lost a
+ * connection: after a crash, connections to its address are refused.
  *
- * <p>A connection that is reset or cut, an instance that is slow or silent, and one that breaks off
- * a single answer all leave somebody listening, or nobody who says so. Used on one event loop.
+ * <p>In the other cases, such as a connection that is reset or cut, an instance that is slow or
+ * unresponsive, or a single answer that is cut short, a new connection is accepted or times out,
+ * but is not refused. Used on one event loop.
  */
 final class CrashProbe {
 
-    /** Long enough for every connection of the life to have been closed, too. */
+    /**
+     * Time for which a crash is remembered, long enough for every connection of the incarnation to
+     * have been closed as well.
+     */
     private static final long RETENTION_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     /**
-     * The connections of a process that ends may go before its listener: of 3,000 connections that
-     * were opened right after, 200 were still answered or reset (two sockets of one process).
+     * Delay before a second probe. The connections of a process that ends may be closed before its
+     * listening socket: of 3,000 connections that were opened right after the first was closed, 200
+     * were still accepted or reset (two sockets of one process).
      */
     private static final long LISTENER_CLOSE_DELAY_MILLIS = 100;
 
@@ -42,54 +47,56 @@
     }
 
     /**
-     * Finds out whether a life has ended.
+     * Checks whether an incarnation has crashed. Concurrent checks of one incarnation share a
+     * probe.
      *
-     * @param then told, at once where it is known
+     * @param result receives whether it has crashed, at once if that is already known
      */
-    void check(Instance instance, Consumer<Boolean> then) {
+    void check(Instance instance, Consumer<Boolean> result) {
         if (crashed.containsKey(instance.id())) {
-            then.accept(true);
+            result.accept(true);
             return;
         }
         List<Consumer<Boolean>> others = pending.get(instance.id());
         if (others != null) {
-            others.add(then);
+            others.add(result);
             return;
         }
-        pending.put(instance.id(), new ArrayList<>(List.of(then)));
+        pending.put(instance.id(), new ArrayList<>(List.of(result)));
         upstreams.probe(
                 Address.parse(instance.address()), refused -> probed(instance.id(), refused));
     }
 
     /**
-     * Finds out a little later whether a life that somebody still answered for has ended.
+     * Checks again, after a delay, whether an incarnation whose address did not refuse a connection
+     * has crashed.
      *
-     * @param then told if it has
+     * @param onCrash run if it has
      */
-    void checkLater(Instance instance, Runnable then) {
+    void checkLater(Instance instance, Runnable onCrash) {
         loop.schedule(
                 () ->
                         check(
                                 instance,
-                                gone -> {
-                                    if (gone) {
-                                        then.run();
+                                hasCrashed -> {
+                                    if (hasCrashed) {
+                                        onCrash.run();
                                     }
                                 }),
                 LISTENER_CLOSE_DELAY_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Forgets what ended long ago. */
+    /** Removes crashes that are older than the retention time. */
     void sweep() {
         long now = BootClock.nanos();
         crashed.values().removeIf(at -> now - at > RETENTION_NANOS);
     }
 
-    private void probed(UpstreamId life, boolean refused) {
+    private void probed(UpstreamId incarnation, boolean refused) {
         if (refused) {
-            crashed.put(life, BootClock.nanos());
+            crashed.put(incarnation, BootClock.nanos());
         }
-        pending.remove(life).forEach(then -> then.accept(refused));
+        pending.remove(incarnation).forEach(result -> result.accept(refused));
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
@@ -43,7 +43,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** A process of the entry role. */
+/** A process of the entry role, which relays the requests of callers to upstreams. */
 public final class EntryDaemon implements FleetDaemon {
 
     private static final Logger logger = LogManager.getLogger(EntryDaemon.class);
@@ -51,24 +51,36 @@
     private static final long SYNC_INTERVAL_MILLIS = 1000;
     private static final long DEMAND_INTERVAL_MILLIS = 500;
 
-    /** How often it is seen whether a report of this host's work is due. */
+    /** Interval at which it is checked whether a report of this host's requests is due. */
     private static final long WORK_CHECK_INTERVAL_MILLIS = 150;
 
-    /** The balancer leaves a host that was not ready twice, a second apart. */
+    /**
+     * Time after which the load balancer sends no more connections here: it removes a host that has
+     * failed two readiness checks, which are 1 s apart.
+     */
     private static final Duration BALANCER_REACTION_TIME = Duration.ofMillis(2500);
 
-    /** Left of the grace when the process ends at the latest. */
+    /** Part of the stop grace period that is left over when the process stops at the latest. */
     private static final Duration GRACE_MARGIN = Duration.ofMillis(700);
 
-    /** What has not been sent by then is refused, in time for its caller to read it. */
+    /**
+     * Time before the end of the drain at which requests that have not been sent are refused, so
+     * that their callers can still read the refusal.
+     */
     private static final Duration REFUSAL_LEAD_TIME = Duration.ofMillis(1500);
 
     private static final Duration DRAIN_POLL_INTERVAL = Duration.ofMillis(50);
 
-    /** Several confirmations may be lost before this host's keys stop counting. */
+    /**
+     * Confirmations per key revocation time: several in a row may be lost before this host no
+     * longer accepts keys.
+     */
     private static final int CONFIRMATIONS_PER_REVOCATION_TIME = 6;
 
-    /** How many entry hosts share the slack for resends, until the control hosts have told. */
+    /**
+     * Number of entry hosts that are assumed to share the slack for retries until the control hosts
+     * have reported it.
+     */
     private static final int ASSUMED_ENTRY_HOSTS = 10;
 
     private static final int ACCEPT_BACKLOG = 512;
@@ -90,7 +102,7 @@
     private Channel readinessChannel;
     private Optional<Channel> metricsChannel = Optional.empty();
 
-    /** Creates a process that does not run yet. */
+    /** Creates a process that is not started yet. */
     public EntryDaemon(FleetSettings settings, FleetSettings.Entry entry) {
         this.settings = settings;
         this.entry = entry;
@@ -101,10 +113,10 @@
         this.upstreams = new UpstreamClient(loop, Headers.REQUEST_ID);
         LimitedUpstreams limited = new LimitedUpstreams(settings.peerName(), random);
         limited.setHostCount(ASSUMED_ENTRY_HOSTS);
-        FleetMetrics figures = new FleetMetrics();
+        FleetMetrics fleetMetrics = new FleetMetrics();
         UpstreamLimits upstreamLimits =
                 new UpstreamLimits(
-                        settings.peerName(), loop, limited, new ControlConnections(), figures);
+                        settings.peerName(), loop, limited, new ControlConnections(), fleetMetrics);
         this.gateway =
                 new Gateway(
                         loop,
@@ -122,7 +134,7 @@
                         customerGate(random),
                         this::sendToControlHosts,
                         upstreamLimits,
-                        figures,
+                        fleetMetrics,
                         random);
         this.follower =
                 new ControlFollower(settings, loop, transport, controlHosts, gateway, random);
@@ -170,13 +182,13 @@
         long started = BootClock.nanos();
         logger.info("daemon.draining host={}", settings.host());
         loop.execute(gateway::drain);
-        long leave = started + BALANCER_REACTION_TIME.toNanos();
+        long stopAccepting = started + BALANCER_REACTION_TIME.toNanos();
         long end = started + settings.limits().stopGrace().minus(GRACE_MARGIN).toNanos();
-        pauseUntil(leave);
+        pauseUntil(stopAccepting);
         callerChannel.close();
         loop.execute(gateway::closeIdleConnections);
-        long refuse = end - REFUSAL_LEAD_TIME.toNanos();
-        awaitNoCallers(refuse);
+        long refuseAt = end - REFUSAL_LEAD_TIME.toNanos();
+        awaitNoCallers(refuseAt);
         loop.execute(gateway::refuseWaiting);
         awaitNoCallers(end);
         logger.info(
@@ -211,7 +223,10 @@
                         loop, new ControlConnections(), outage, this::assumedEntryHostCount));
     }
 
-    /** Before the control hosts have told how many there are, few would each take too much. */
+    /**
+     * Returns the number of entry hosts among which allowances are divided. Until the control hosts
+     * have reported it, too low a number would let each host take too much.
+     */
     private int assumedEntryHostCount() {
         return Math.max(ASSUMED_ENTRY_HOSTS, gateway.entryHostCount());
     }
@@ -245,18 +260,18 @@
     }
 
     private static void pauseUntil(long time) {
-        long left = time - BootClock.nanos();
-        if (left <= 0) {
+        long remaining = time - BootClock.nanos();
+        if (remaining <= 0) {
             return;
         }
         try {
-            TimeUnit.NANOSECONDS.sleep(left);
+            TimeUnit.NANOSECONDS.sleep(remaining);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** The way to the control hosts for questions about allowances and limits. */
+    /** The connections to the control hosts over which allowances and limits are requested. */
     private final class ControlConnections implements ControlWay {
         @Override
         public boolean send(HostId host, Frame frame) {
@@ -269,7 +284,7 @@
         }
     }
 
-    /** Connections of callers. */
+    /** Sets up the pipeline of a caller's connection. */
     private final class CallerChannelInitializer extends ChannelInitializer<SocketChannel> {
         @Override
         protected void initChannel(SocketChannel channel) {
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/FinalAnswer.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/FinalAnswer.java
@@ -6,11 +6,11 @@
 import java.time.Duration;
 
 /**
- * The last word of this system's own on one request, to its caller and to the log.
+ * Ends one request with an answer that does not come from an upstream, and logs it.
  *
- * <p>What it may say depends on how far the request came: until a byte of it was written to an
- * upstream, or after the upstream itself has said so, it has not run and may be refused. After that
- * it may have run, and its caller is told that the outcome is unknown.
+ * <p>The answer depends on how far the request got. A request of which no byte was written to an
+ * upstream, or whose upstream has reported that it did not run it, has not run and may be refused.
+ * Any other request may have run, and its caller is told that the outcome is unknown.
  */
 final class FinalAnswer {
 
@@ -27,9 +27,9 @@
     private Need need;
 
     /**
-     * Creates the end of a request.
+     * Creates the final answer of a request.
      *
-     * @param close ends all work on the request
+     * @param close ends all processing of the request
      */
     FinalAnswer(
             Gateway gateway,
@@ -48,12 +48,12 @@
         this.close = close;
     }
 
-    /** Notes what the request needs of an instance. */
+    /** Sets what the request needs of an instance, for the log. */
     void setNeed(Need known) {
         need = known;
     }
 
-    /** Ends a request that waited in vain. */
+    /** Ends a request that has waited without success. */
     void giveUp(String reason, Duration retryAfter) {
         if (stream.begun()) {
             abort(reason);
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Ends a request that its caller may not have run, or not now. */
+    /** Ends a request that its caller has no right to run, or not at this time. */
     void deny(Right.Refused refused) {
         if (stream.begun() || history.mayHaveRun()) {
             giveUp(refused.reason(), SHORT_RETRY_DELAY);
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Ends a request whose caller waits no longer. */
+    /** Ends a request whose deadline has passed. */
     void timeOut() {
         if (stream.begun()) {
             abort("its time has passed");
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Ends a request that its instance broke off. */
+    /** Ends a request that its instance has interrupted. */
     void failInterrupted() {
         if (stream.begun()) {
             abort(INTERRUPTED);
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Says that the request has not run, and when it is worth another try. */
+    /** Answers that the request has not run, and after which time a retry makes sense. */
     void refuse(String reason, Duration retryAfter) {
         refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, reason, retryAfter);
     }
@@ -107,14 +107,14 @@
         answers.answer(Answers.refusal(status, reason, request.id(), retryAfter));
     }
 
-    /** Says that the request has failed, and promises nothing. */
+    /** Answers that the request has failed, with no promise that it has not run. */
     void fail(HttpResponseStatus status, String reason) {
         log.failed(status.code(), reason, history.sendCount());
         close.run();
         answers.answer(Answers.failure(status, reason, request.id()));
     }
 
-    /** Ends an answer that has begun, so that its caller sees that it is not whole. */
+    /** Aborts an answer that has begun, so that the caller can see that it is incomplete. */
     private void abort(String reason) {
         log.aborted(reason, stream.lastEvent(), history.sendCount());
         close.run();
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/Gateway.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/Gateway.java
@@ -34,12 +34,15 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** What all requests of one entry host share. Used on one event loop. */
+/** The state that all requests of one entry host share. Used on one event loop. */
 final class Gateway {
 
     private static final Logger logger = LogManager.getLogger(Gateway.class);
 
-    /** Between two looks at what waits: a thirtieth of the shortest objectives seen. */
+    /**
+     * Interval at which waiting requests are reconsidered: a thirtieth of the shortest latency
+     * objectives in use.
+     */
     private static final long RECHECK_INTERVAL_MILLIS = 25;
 
     private final EventLoop loop;
@@ -90,7 +93,7 @@
         this.random = random;
     }
 
-    /** Takes over newer routes. */
+    /** Puts routes into force, unless those in force are as new or newer. */
     void setRoutes(RouteTable next) {
         if (routes != null && next.version() <= routes.version()) {
             return;
@@ -113,7 +116,7 @@
         dispatchWaiting();
     }
 
-    /** Takes in what is newly known of an instance. */
+    /** Applies a change of an instance. */
     void instanceChanged(Instance instance) {
         logChange(instance);
         dispatcher.updateInstance(instance);
@@ -125,8 +128,8 @@
     }
 
     /**
-     * A line for each state that an instance comes to; what it holds stands in the lines of the
-     * control hosts. With what it holds in it, 20 hosts wrote 217 KB in 8 s before any request.
+     * Logs each change of an instance's state. The models that it holds are left to the log of the
+     * control hosts: with them in this line, 20 hosts wrote 217 KB in 8 s before any request.
      */
     private void logChange(Instance instance) {
         boolean known =
@@ -144,26 +147,29 @@
         }
     }
 
-    /** Decides where a request goes now; one that may end instances goes apart from the others. */
+    /** Chooses an instance for a request; a request suspected of crashing instances is isolated. */
     Choice choose(
             Standing standing,
             RequestDigest digest,
             Need need,
             Predicate<UpstreamId> allowed,
-            Duration left,
+            Duration remaining,
             long now) {
         return standing instanceof Standing.Suspect
-                ? quarantine.choose(digest, need, allowed, !left.isPositive(), now)
-                : dispatcher.choose(need, allowed, left, now);
+                ? quarantine.choose(digest, need, allowed, !remaining.isPositive(), now)
+                : dispatcher.choose(need, allowed, remaining, now);
     }
 
-    /** Tries to send what waits, the most urgent first. */
+    /** Reconsiders all waiting requests, in the order of {@link WaitingRequests}. */
     void dispatchWaiting() {
         waiting.tryAll();
         upstreamLimits.lookSoon();
     }
 
-    /** While something waits, it is looked at again and again: time alone may decide about it. */
+    /**
+     * Schedules the next check while any request waits: the passage of time alone may let a request
+     * be sent or refused.
+     */
     private void scheduleRecheck() {
         if (!recheckScheduled && !waiting.isEmpty()) {
             recheckScheduled = true;
@@ -183,24 +189,24 @@
         }
     }
 
-    /** Stops keeping connections open. */
+    /** Closes connections after their current answer from now on. */
     void drain() {
         draining = true;
     }
 
-    /** Refuses what has not been sent, and from now on whatever comes. */
+    /** Refuses the requests that have not been sent, and every request that arrives later. */
     void refuseWaiting() {
         closing = true;
         firstRoutes.release();
         waiting.tryAll();
     }
 
-    /** Closes the connections on which nothing is under way. */
+    /** Closes the connections that have no request in progress. */
     void closeIdleConnections() {
         List.copyOf(connections).forEach(CallerConnection::closeIfIdle);
     }
 
-    /** Returns whether the process is about to end, so that nothing more is sent. */
+    /** Returns whether the process is about to stop, so that no more requests are sent. */
     boolean isClosing() {
         return closing;
     }
@@ -217,7 +223,7 @@
         return lineBudget;
     }
 
-    /** Brings the measures of the present state up to date. */
+    /** Updates the gauges of the current state. */
     void updateMetrics() {
         metrics.state("routes_version", routes == null ? -1.0 : (double) routes.version());
         metrics.state("instances", dispatcher.instances().size());
@@ -229,7 +235,7 @@
         metrics.state("resting_upstreams", dispatcher.restingCount());
     }
 
-    /** Returns how many callers are connected. */
+    /** Returns the number of open connections from callers. */
     int connectionCount() {
         return connections.size();
     }
@@ -258,24 +264,24 @@
         return routes == null ? CallerLimits.initial() : routes.limits();
     }
 
-    /** Returns a number by which a request's share of a split is drawn. */
+    /** Draws a random number that selects one service of a route's traffic split. */
     int drawTicket() {
         return random.nextInt(Integer.MAX_VALUE);
     }
 
-    /** Takes in how many entry hosts there are. */
-    void setEntryHostCount(int seen) {
-        entryHostCount = seen;
-        retryLimiter.updateHostCount(seen);
-        dispatcher.setHostCount(seen);
+    /** Sets the number of entry hosts, which share limits among them. */
+    void setEntryHostCount(int count) {
+        entryHostCount = count;
+        retryLimiter.updateHostCount(count);
+        dispatcher.setHostCount(count);
     }
 
-    /** Returns how many entry hosts there are, as far as the control hosts have told. */
+    /** Returns the number of entry hosts that the control hosts have reported, 0 before that. */
     int entryHostCount() {
         return entryHostCount;
     }
 
-    /** Has somebody told when requests for a model begin to wait. */
+    /** Sets the listener to call when requests for a model have begun to wait. */
     void onNewlyWaiting(Runnable listener) {
         newlyWaitingListener = listener;
     }
@@ -324,26 +330,28 @@
         return firstRoutes;
     }
 
-    /** Returns how many requests for the same model are served before one. */
+    /**
+     * Returns the number of waiting requests for the same model that are served before this one.
+     */
     int countWaitingBefore(RelayedRequest request) {
         return waiting.before(request);
     }
 
-    /** An instance has read a prompt, so that it may take another. */
+    /** Called when an instance has processed a prompt, so that it may accept another request. */
     void promptProcessed() {
         if (!waiting.isEmpty()) {
             loop.execute(this::dispatchWaiting);
         }
     }
 
-    /** A waiting request has been sent or answered. */
+    /** Removes a request that no longer waits, if it did. */
     void removeWaiting(RelayedRequest request) {
         if (waiting.remove(request)) {
             demand.waitsNoMore(request.need());
         }
     }
 
-    /** A request has ended, which may have made room for another. */
+    /** Removes a request that has ended, which may have freed a slot for another one. */
     void requestEnded(RelayedRequest request) {
         firstRoutes.remove(request);
         removeWaiting(request);
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/Quarantine.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/Quarantine.java
@@ -36,8 +36,12 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Keeps the requests of one entry host that end instances from ending more of them, and shares with
- * the control hosts what it sees. Used on one event loop.
+ * Keeps requests that crash the instances that run them from crashing more of them, and exchanges
+ * the crashes that it observes with the control hosts. One per entry host; used on one event loop.
+ *
+ * <p>A suspect is a request that was in progress at an instance that crashed: it runs isolated from
+ * other suspects. A condemned request is refused. A request that ends without a crash is acquitted
+ * of the crashes before. A sentence is a refusal that all hosts have agreed on.
  */
 final class Quarantine {
 
@@ -67,12 +71,12 @@
         this.toControlHosts = toControlHosts;
     }
 
-    /** Returns how a request stands. */
+    /** Returns the standing of a request. */
     Standing standing(RequestDigest request, long now) {
         return ledger.standing(request, now);
     }
 
-    /** Decides where a suspect goes. */
+    /** Chooses an instance for a suspect. */
     Choice choose(
             RequestDigest request,
             Need need,
@@ -82,7 +86,7 @@
         return suspectDispatcher.choose(request, need, allowed, late, now);
     }
 
-    /** Notes that a request is sent to an instance. */
+    /** Records that a request is sent to an instance. */
     void attemptStarted(RequestDigest request, Instance instance, RelayedRequest by) {
         inFlight.computeIfAbsent(request, key -> new HashSet<>()).add(by);
         if (ledger.standing(request, BootClock.nanos()) instanceof Standing.Suspect suspect) {
@@ -95,12 +99,12 @@
         }
     }
 
-    /** Notes that a request's answer has begun. */
+    /** Records that the answer to a request has begun, which ends its isolation. */
     void answerBegun(RequestDigest request, UpstreamId instance) {
         isolation.end(instance, request);
     }
 
-    /** Notes that a request has left its instance, however. */
+    /** Records that an attempt of a request at an instance has ended, for whatever reason. */
     void attemptEnded(RequestDigest request, UpstreamId instance, RelayedRequest by) {
         isolation.end(instance, request);
         Set<RelayedRequest> copies = inFlight.get(request);
@@ -109,38 +113,41 @@
         }
     }
 
-    /** Notes that an instance has run a request to an end, and lives on. */
+    /** Records that an instance has completed a request without a crash. */
     void requestCompleted(RequestDigest request) {
         ledger.recordHarmlessEnd(request).ifPresent(this::publishAcquittal);
     }
 
     /**
-     * Notes that an instance has broken a request off. If it has ended by itself, this is held
-     * against the request, which goes on once that is known.
+     * Records that an instance has interrupted a request. If the instance has crashed, the crash is
+     * attributed to the request, except if this host has paused since it sent the request or if the
+     * instance was expected to end.
      *
-     * @param sentAt when the request was sent, on the process's clock in nanoseconds
+     * @param sentAt when the request was sent, on the monotonic clock in nanoseconds
+     * @param resume continues with the request, once it is known whether the instance has crashed
      */
-    void attemptInterrupted(RequestDigest request, Instance instance, long sentAt, Runnable goOn) {
+    void attemptInterrupted(
+            RequestDigest request, Instance instance, long sentAt, Runnable resume) {
         if (pauseDetector.pausedSince(sentAt, BootClock.nanos()) || isExpectedToEnd(instance)) {
-            goOn.run();
+            resume.run();
             return;
         }
         crashProbe.check(
                 instance,
-                ended -> {
+                crashed -> {
                     unconfirmedCrashes.recordInterrupted(instance.id(), request, BootClock.nanos());
-                    if (ended) {
+                    if (crashed) {
                         incarnationCrashed(instance.id());
                     } else {
                         crashProbe.checkLater(instance, () -> incarnationCrashed(instance.id()));
                     }
-                    goOn.run();
+                    resume.run();
                 });
     }
 
     /**
-     * Notes that a request is given up whose instance may run it. The instance may end under it
-     * when no connection is left to see that by.
+     * Records that a request is abandoned while its instance may run it. If the instance crashes
+     * later, there is no connection left on which this host would notice.
      */
     void attemptAbandoned(RequestDigest request, Instance instance) {
         if (!isExpectedToEnd(instance)) {
@@ -148,12 +155,12 @@
         }
     }
 
-    /** Takes in that a life of an instance is heard of. */
-    void instanceAnnounced(UpstreamId life) {
-        unconfirmedCrashes.confirmedBy(life, BootClock.nanos()).forEach(this::recordCrash);
+    /** Records the announcement of an incarnation, which confirms crashes of earlier ones. */
+    void instanceAnnounced(UpstreamId incarnation) {
+        unconfirmedCrashes.confirmedBy(incarnation, BootClock.nanos()).forEach(this::recordCrash);
     }
 
-    /** Takes in what a control host tells. */
+    /** Applies the crashes, acquittals and sentences that a control host has sent. */
     void received(CrashNotice notice) {
         long now = BootClock.nanos();
         for (CrashRecord record : notice.getCrashesList()) {
@@ -173,7 +180,10 @@
         abortCondemned();
     }
 
-    /** Returns all that this host knows, for a control host that may know nothing. */
+    /**
+     * Returns a notice of all crashes that this host knows, for a control host that has just
+     * connected and may know none; empty if there are none.
+     */
     Optional<Frame> fullNotice() {
         List<CrashRecord> all = ledger.crashes().stream().map(CrashCodec::encode).toList();
         return all.isEmpty()
@@ -181,24 +191,27 @@
                 : Optional.of(CrashCodec.frame(CrashCodec.notice().addAllCrashes(all)));
     }
 
-    /** Notes that the process runs. */
+    /** Tells the pause detector that the process is running. */
     void tick() {
         pauseDetector.tick(BootClock.nanos());
     }
 
-    /** Forgets what no longer counts. */
+    /** Removes entries that are too old to affect any decision. */
     void sweep() {
         ledger.sweep(BootClock.nanos());
         crashProbe.sweep();
     }
 
-    /** Brings the measures of the present state up to date. */
+    /** Updates the gauges of the current state. */
     void updateMetrics() {
         metrics.state("suspects", ledger.size());
         metrics.state("refused_requests", ledger.condemned(BootClock.nanos()).size());
     }
 
-    /** What drains, or has said that it ends, ends as planned. */
+    /**
+     * Returns whether an instance is expected to end: it is no longer ready, since it drains or has
+     * announced that it is leaving, or it is no longer known.
+     */
     private boolean isExpectedToEnd(Instance instance) {
         return dispatcher
                 .find(instance.id())
@@ -206,11 +219,12 @@
                 .isEmpty();
     }
 
-    /** Holds the end of a life against what left it just before. */
-    private void incarnationCrashed(UpstreamId life) {
-        Set<RequestDigest> those = unconfirmedCrashes.takeRequests(life, BootClock.nanos());
-        if (!those.isEmpty()) {
-            recordCrash(new Crash(life, those));
+    /** Attributes a crash to the requests that were interrupted at the incarnation. */
+    private void incarnationCrashed(UpstreamId incarnation) {
+        Set<RequestDigest> requests =
+                unconfirmedCrashes.takeRequests(incarnation, BootClock.nanos());
+        if (!requests.isEmpty()) {
+            recordCrash(new Crash(incarnation, requests));
         }
     }
 
@@ -241,7 +255,10 @@
                 CrashCodec.frame(CrashCodec.notice().addAcquittals(CrashCodec.encode(acquittal))));
     }
 
-    /** Copies that are under way when a request is condemned may not have begun to run yet. */
+    /**
+     * Aborts the copies of condemned requests that are in flight: an instance may not have begun to
+     * run them yet.
+     */
     private void abortCondemned() {
         long now = BootClock.nanos();
         for (RequestDigest request : List.copyOf(inFlight.keySet())) {
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RelayedRequest.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RelayedRequest.java
@@ -20,7 +20,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** One caller's request from its arrival to its final answer. */
+/** One caller's request from its arrival to its final answer. Used on one event loop. */
 final class RelayedRequest implements AttemptListener {
 
     private final Gateway gateway;
@@ -55,7 +55,7 @@
                 new FinalAnswer(gateway, request, answers, log, history, stream, this::close);
     }
 
-    /** Begins to work on the request, or goes on once the first routes are known. */
+    /** Starts processing the request, or continues with it once the first routes are known. */
     void start() {
         timer.cancel();
         if (!gateway.hasRoutes()) {
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Waits for the first routes after this host's start, if they should come in time. */
+    /** Waits for the first routes after this host's start, if they are expected in time. */
     private void awaitRoutes() {
         long now = BootClock.nanos();
         FirstRoutes first = gateway.firstRoutes();
@@ -102,23 +102,23 @@
         first.add(this);
     }
 
-    /** Returns what the request needs. */
+    /** Returns what the request needs of an instance. */
     Need need() {
         return need;
     }
 
-    /** Returns whether an answer can only be late. */
+    /** Returns whether an answer can no longer meet the route's latency objective. */
     boolean isLate(long now) {
         return times.late(now);
     }
 
-    /** Returns until when an answer is of use, on the monotonic clock in nanoseconds. */
+    /** Returns the deadline of the answer, on the monotonic clock in nanoseconds. */
     long deadlineAt() {
         return times.deadlineAt();
     }
 
     /**
-     * Sends the request if it can be sent now, or refuses it if waiting is of no use.
+     * Sends the request if it can be sent now, or refuses it if waiting is useless.
      *
      * @return whether it no longer waits
      */
@@ -137,8 +137,8 @@
         }
         long now = BootClock.nanos();
         Standing standing = gateway.quarantine().standing(digest, now);
-        if (standing instanceof Standing.Condemned(Duration left)) {
-            finalAnswer.giveUp("instances end under it", left);
+        if (standing instanceof Standing.Condemned(Duration remaining)) {
+            finalAnswer.giveUp("instances end under it", remaining);
             return true;
         }
         Choice choice =
@@ -180,7 +180,7 @@
         return choice instanceof Choice.Full || choice instanceof Choice.HeldBack;
     }
 
-    /** Ends a copy of a request that is refused by now, if it may not have begun to run yet. */
+    /** Aborts the request, condemned while in flight, unless its answer has begun. */
     void abortCondemned() {
         if (!ended && !stream.begun() && attempt != null) {
             finalAnswer.fail(
@@ -188,14 +188,14 @@
         }
     }
 
-    /** Tries again a request that waits. */
+    /** Reconsiders the request while it waits: sends it, refuses it or lets it wait on. */
     void reconsider() {
         if (trySend()) {
             gateway.removeWaiting(this);
         }
     }
 
-    /** The caller has closed its connection. */
+    /** Called when the caller has closed its connection. */
     void callerDisconnected() {
         if (!ended) {
             log.callerDisconnected(history.sendCount());
@@ -203,10 +203,10 @@
         }
     }
 
-    /** The caller takes more, or cannot take more now. */
-    void writabilityChanged(boolean yes) {
+    /** Called when the caller's connection becomes writable, or stops being writable. */
+    void writabilityChanged(boolean writable) {
         if (attempt != null) {
-            attempt.setReading(yes);
+            attempt.setReading(writable);
         }
     }
 
@@ -226,7 +226,7 @@
         double load = gateway.dispatcher().occupancy(instance.id(), now);
         log.sent(
                 need, instance, history.sendCount() + 1, why, now - waitingSince, waitReason, load);
-        long leftMillis = TimeUnit.NANOSECONDS.toMillis(deadlineAt() - now);
+        long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineAt() - now);
         sentAt = now;
         gateway.quarantine().attemptStarted(digest, instance, this);
         attempt.start(
@@ -236,7 +236,7 @@
                         instance,
                         rights.customer(),
                         gateway.customers().keysNeeded(),
-                        leftMillis,
+                        remainingMillis,
                         stream.lastEvent()),
                 request.id());
     }
@@ -356,16 +356,16 @@
     private void handleNotRun(Instance instance, HttpResponse head) {
         log.notRun(instance, head.status().code());
         history.recordNotRun(instance.id());
-        boolean rests = gateway.dispatcher().isResting(instance.id(), BootClock.nanos());
-        if (!rests) {
+        boolean resting = gateway.dispatcher().isResting(instance.id(), BootClock.nanos());
+        if (!resting) {
             gateway.dispatcher().requestRejected(instance.id(), need, BootClock.nanos());
         }
-        boolean comes = need.adapter().isPresent() && history.tryAcquireAdapterRetry();
+        boolean retryForAdapter = need.adapter().isPresent() && history.tryAcquireAdapterRetry();
         if (stream.begun()) {
             resumeOrFail(instance);
-        } else if (rests) {
+        } else if (resting) {
             requeue("the instance wants rest");
-        } else if (comes) {
+        } else if (retryForAdapter) {
             requeue("its adapter is on its way");
         } else {
             tryNextInstance(instance, "the instance did not run it");
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestLog.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestLog.java
@@ -18,7 +18,10 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Writes one line for each decision on one request, with what it was decided from. */
+/**
+ * Logs the decisions about one request, each in one line with the values that it was based on, and
+ * counts them in the metrics. A line is left out if its kind has used up its {@link LineBudget}.
+ */
 final class RequestLog {
 
     private static final Logger logger = LogManager.getLogger(RequestLog.class);
@@ -41,12 +44,12 @@
         this.arrivedAt = request.arrivedAt();
     }
 
-    /** Notes which route the request takes. */
+    /** Sets the name of the request's route. */
     void setRoute(String name) {
         route = name;
     }
 
-    /** Notes whose request it is. */
+    /** Sets the customer that the request belongs to, if any. */
     void setCustomer(Optional<Customer> holder) {
         customer = holder.map(one -> one.id().value()).orElse("");
     }
@@ -65,7 +68,14 @@
         }
     }
 
-    /** It is sent to an instance, which has so many requests by a report of that sequence. */
+    /**
+     * Logs that the request is sent to an instance.
+     *
+     * @param send the number of this send, from 1
+     * @param why the reason for which the dispatcher has chosen the instance
+     * @param load the estimated number of requests that the instance runs or queues; the line also
+     *     names the sequence number of the announcement that it is based on
+     */
     void sent(
             Need need,
             Instance instance,
@@ -98,7 +108,10 @@
         }
     }
 
-    /** Notes, once for each reason, that an instance that could run it takes no more now. */
+    /**
+     * Logs, once for each reason, that the request waits because an instance that could run it is
+     * at its limit or at rest.
+     */
     void heldBack(Choice.HeldBack held, int ahead) {
         if (!heldBackFor.add(held.reason())) {
             return;
@@ -117,7 +130,10 @@
         }
     }
 
-    /** Notes that it is about to be refused since such an instance takes no more in time. */
+    /**
+     * Counts a request that is refused because no instance that is at its limit or at rest can take
+     * it in time.
+     */
     void refusedWhileHeldBack(Choice.HeldBack held) {
         countHeldBack(held, "refused");
     }
@@ -129,7 +145,7 @@
         }
     }
 
-    /** Notes that the answer has begun to come. */
+    /** Records that the first bytes of the answer have arrived. */
     void answerBegun() {
         firstByteMillis = ageMillis();
         metrics.reached("first", BootClock.nanos() - arrivedAt);
@@ -169,8 +185,8 @@
     }
 
     void attemptFailed(Instance instance, boolean sent, String reason, OptionalLong lastEvent) {
-        String ending = sent ? "broke-off" : "unreached";
-        metrics.attemptEnded(instance.service().value(), ending);
+        String outcome = sent ? "broke-off" : "unreached";
+        metrics.attemptEnded(instance.service().value(), outcome);
         long leftOut = lineBudget.take(LineBudget.Kind.ATTEMPT, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamAttempt.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamAttempt.java
@@ -17,7 +17,7 @@
 import io.stackhall.server.relay.UpstreamCall;
 import io.stackhall.server.settings.Address;
 
-/** One try of a request at one instance, and the account of it at the dispatcher. */
+/** One attempt to run a request at one instance, which the dispatcher is notified of. */
 final class UpstreamAttempt implements CallListener {
 
     private final Gateway gateway;
@@ -34,9 +34,9 @@
     private boolean firstEventSeen;
 
     /**
-     * Creates an attempt that counts as the instance's work from now on.
+     * Creates an attempt, which the dispatcher counts as load of the instance from now on.
      *
-     * @param kind whether an answer with success is an event stream
+     * @param kind whether a successful answer is an event stream
      */
     UpstreamAttempt(
             Gateway gateway,
@@ -58,7 +58,7 @@
                         .send(Address.parse(instance.address()), request, requestId, this);
     }
 
-    /** Ends the attempt, breaking the call off where it is not over. */
+    /** Ends the attempt and cancels its call if that is still in progress. */
     void abandon() {
         abandoned = true;
         gateway.dispatcher().requestEnded(inFlight, BootClock.nanos());
@@ -80,12 +80,12 @@
 
     @Override
     public boolean sending() {
-        // What the instance has said since it was chosen counts: a connection may take its time.
-        boolean may = gateway.dispatcher().mayWrite(instance.id(), BootClock.nanos());
-        if (may) {
+        // Checked again: connecting may take time, and the instance may drain or rest by now.
+        boolean mayWrite = gateway.dispatcher().mayWrite(instance.id(), BootClock.nanos());
+        if (mayWrite) {
             listener.sending();
         }
-        return may;
+        return mayWrite;
     }
 
     @Override
@@ -101,13 +101,13 @@
                                                 instance.id(),
                                                 load.running() + load.waiting(),
                                                 now));
-        boolean good = answer.status().codeClass() == HttpStatusClass.SUCCESS;
-        if (!good) {
+        boolean success = answer.status().codeClass() == HttpStatusClass.SUCCESS;
+        if (!success) {
             gateway.dispatcher().errorResponseStarted(inFlight, !Answers.reportsNotRun(answer));
         } else if (!stream) {
             gateway.dispatcher().responseStarted(inFlight, now);
         }
-        if (!good || !stream) {
+        if (!success || !stream) {
             body = Unpooled.buffer();
         }
     }
