--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/AttemptHistory.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/AttemptHistory.java
@@ -6,85 +6,95 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** Where one request has been sent, and so where it may still be sent. */
+/** The attempts of one request so far, and the further attempts that its route permits. */
 final class AttemptHistory {
 
-    /** An adapter that was ordered arrives within some ten milliseconds, or not at all. */
-    private static final int MOST_ADAPTER_REFUSALS = 2;
+    /**
+     * Refusals for lack of an adapter after which it is no longer waited for. An adapter that was
+     * ordered is loaded within some ten milliseconds, or not at all.
+     */
+    private static final int MAX_ADAPTER_REFUSALS = 2;
 
     private final Set<UpstreamId> sentTo = new HashSet<>();
-    private final Set<UpstreamId> givenUp = new HashSet<>();
+    private final Set<UpstreamId> excluded = new HashSet<>();
     private int maxAttempts = 1;
     private boolean repeatable;
     private boolean resumable;
-    private int sends;
+    private int sendCount;
     private int adapterRefusals;
     private boolean mayHaveRun;
 
-    /** Takes in what a request's route allows. */
-    void allow(Route route) {
+    /** Applies the limits that the request's route sets. */
+    void applyRoute(Route route) {
         maxAttempts = route.maxAttempts();
         repeatable = route.repeatable();
         resumable = route.resumable();
     }
 
     /**
-     * Returns whether another instance may take up what broke off.
+     * Returns whether another instance may continue an interrupted attempt.
      *
-     * @param begun whether the caller has got a part of a stream
-     * @param atEvent whether that part ends with a whole event
+     * @param begun whether the caller has received a part of a stream
+     * @param atEvent whether that part ends with a complete event
      */
-    boolean mayGoOn(boolean begun, boolean atEvent) {
-        boolean may = begun ? resumable && atEvent : repeatable;
-        return may && another();
+    boolean mayContinue(boolean begun, boolean atEvent) {
+        boolean permitted = begun ? resumable && atEvent : repeatable;
+        return permitted && hasAttemptsLeft();
     }
 
-    /** Notes that its bytes are written to an instance; one that was not reached does not count. */
-    void sent(UpstreamId id) {
+    /**
+     * Records that the request is written to an instance. An instance that could not be reached
+     * does not count as an attempt.
+     */
+    void recordSent(UpstreamId id) {
         sentTo.add(id);
-        sends++;
+        sendCount++;
     }
 
-    /** Notes that an instance says that it has not run it: that does not count as an attempt. */
-    void notRun(UpstreamId id) {
+    /**
+     * Records that an instance has reported that it did not run the request, which does not count
+     * as an attempt.
+     */
+    void recordNotRun(UpstreamId id) {
         sentTo.remove(id);
     }
 
-    /** Notes that an instance has run it, or may have. */
-    void ran() {
+    /** Records that an instance has run the request, or may have. */
+    void recordMayHaveRun() {
         mayHaveRun = true;
     }
 
-    /** Returns whether it may have run. */
+    /** Returns whether any instance may have run the request. */
     boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** Notes that an instance is not to be tried again. */
-    void giveUp(UpstreamId id) {
-        givenUp.add(id);
+    /** Excludes an instance from further attempts. */
+    void exclude(UpstreamId id) {
+        excluded.add(id);
     }
 
-    /** Returns whether an adapter that was refused once more is worth another try. */
-    boolean adapterMayCome() {
-        return adapterRefusals++ < MOST_ADAPTER_REFUSALS;
+    /** Counts a refusal for lack of an adapter, and returns whether another attempt makes sense. */
+    boolean tryAcquireAdapterRetry() {
+        return adapterRefusals++ < MAX_ADAPTER_REFUSALS;
     }
 
-    /** Returns how often its bytes were written. */
-    int sends() {
-        return sends;
+    /** Returns how often the request was written to an instance. */
+    int sendCount() {
+        return sendCount;
     }
 
-    /** Returns whether another instance may still get it. */
-    boolean another() {
+    /** Returns whether the request may be sent to a further instance. */
+    boolean hasAttemptsLeft() {
         return sentTo.size() < maxAttempts;
     }
 
     /**
-     * Returns which instances may get it: those that had it and were not given up, and new ones.
+     * Returns the instances that the request may be sent to: those that have received it and are
+     * not excluded, and new ones while attempts are left.
      */
-    Predicate<UpstreamId> allowed() {
-        boolean more = another();
-        return id -> !givenUp.contains(id) && (more || sentTo.contains(id));
+    Predicate<UpstreamId> allowedInstances() {
+        boolean mayUseNew = hasAttemptsLeft();
+        return id -> !excluded.contains(id) && (mayUseNew || sentTo.contains(id));
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/CallerConnection.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/CallerConnection.java
@@ -31,14 +31,18 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * One caller's connection: reads a request whole, has it relayed, writes its answer, then reads the
- * next. That the caller has left is noticed at once, since the connection is read all the time.
+ * One caller's connection: reads a whole request, has it relayed, writes its answer, then continues
+ * with the next request. The connection is read all the time, so that a disconnect of the caller is
+ * noticed at once.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter implements AnswerWriter {
 
     private static final Logger logger = LogManager.getLogger(CallerConnection.class);
 
-    /** Parts of later requests that are kept while one is relayed; beyond it reading stops. */
+    /**
+     * Maximum number of messages of pipelined requests that are buffered while a request is
+     * relayed; beyond it reading stops.
+     */
     private static final int MAX_BACKLOG = 64;
 
     private final Gateway gateway;
@@ -46,11 +50,11 @@
     private ChannelHandlerContext context;
     private HttpRequest head;
     private ByteArrayOutputStream body;
-    private long headAt;
+    private long headReceivedAt;
     private RelayedRequest relayed;
-    private boolean keep;
-    private boolean refused;
-    private ScheduledFuture<?> patience;
+    private boolean keepAlive;
+    private boolean closing;
+    private ScheduledFuture<?> timeout;
 
     CallerConnection(Gateway gateway) {
         this.gateway = gateway;
@@ -59,20 +63,20 @@
     @Override
     public void handlerAdded(ChannelHandlerContext added) {
         context = added;
-        gateway.opened(this);
-        await(gateway.limits().idleTimeout().toMillis(), this::rested);
+        gateway.connectionOpened(this);
+        startTimeout(gateway.callerLimits().idleTimeout().toMillis(), this::closeIdle);
     }
 
-    /** Bytes of a request whose head is not whole yet have come. */
-    void bytesArrived() {
-        if (relayed == null && head == null && !refused) {
-            await(gateway.limits().headerTimeout().toMillis(), this::headTooSlow);
+    /** Called when bytes have arrived: restarts the header timeout while a head is incomplete. */
+    void bytesReceived() {
+        if (relayed == null && head == null && !closing) {
+            startTimeout(gateway.callerLimits().headerTimeout().toMillis(), this::headTimedOut);
         }
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ignored, Object message) {
-        if (refused) {
+        if (closing) {
             ReferenceCountUtil.release(message);
             return;
         }
@@ -83,27 +87,27 @@
             }
             return;
         }
-        take(message);
+        process(message);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ignored) {
-        refused = true;
-        stopWaiting();
+        closing = true;
+        cancelTimeout();
         backlog.forEach(ReferenceCountUtil::release);
         backlog.clear();
-        gateway.closed(this);
-        RelayedRequest left = relayed;
+        gateway.connectionClosed(this);
+        RelayedRequest abandoned = relayed;
         relayed = null;
-        if (left != null) {
-            left.callerLeft();
+        if (abandoned != null) {
+            abandoned.callerDisconnected();
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ignored) {
         if (relayed != null) {
-            relayed.writable(context.channel().isWritable());
+            relayed.writabilityChanged(context.channel().isWritable());
         }
     }
 
@@ -117,8 +121,8 @@
         context.close();
     }
 
-    /** Closes the connection if nothing is under way on it. */
-    void closeIfResting() {
+    /** Closes the connection if no request is in progress on it. */
+    void closeIfIdle() {
         if (relayed == null && head == null) {
             context.close();
         }
@@ -126,23 +130,23 @@
 
     @Override
     public void writeAnswer(FullHttpResponse response) {
-        boolean stays = keep && !gateway.draining();
+        boolean staysOpen = keepAlive && !gateway.isDraining();
         HttpUtil.setContentLength(response, response.content().readableBytes());
-        mark(response, stays);
+        setConnectionHeader(response, staysOpen);
         relayed = null;
-        if (stays) {
+        if (staysOpen) {
             context.writeAndFlush(response);
-            next();
+            processBacklog();
         } else {
-            refused = true;
+            closing = true;
             context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
         }
     }
 
     @Override
     public void writeHead(HttpResponse response) {
-        keep = keep && !gateway.draining();
-        mark(response, keep);
+        keepAlive = keepAlive && !gateway.isDraining();
+        setConnectionHeader(response, keepAlive);
         HttpUtil.setTransferEncodingChunked(response, true);
         context.write(response);
     }
@@ -155,11 +159,11 @@
     @Override
     public void end() {
         relayed = null;
-        if (keep && !gateway.draining()) {
+        if (keepAlive && !gateway.isDraining()) {
             context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-            next();
+            processBacklog();
         } else {
-            refused = true;
+            closing = true;
             context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
                     .addListener(ChannelFutureListener.CLOSE);
         }
@@ -168,17 +172,17 @@
     @Override
     public void abort() {
         relayed = null;
-        refused = true;
+        closing = true;
         context.close();
     }
 
-    private void take(Object message) {
+    private void process(Object message) {
         try {
             if (message instanceof HttpRequest request) {
                 begin(request);
             }
             if (message instanceof HttpContent content && head != null) {
-                add(content);
+                addContent(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
@@ -186,22 +190,22 @@
     }
 
     private void begin(HttpRequest request) {
-        stopWaiting();
+        cancelTimeout();
         if (request.decoderResult().isFailure()) {
             Throwable cause = request.decoderResult().cause();
-            refuse(
+            rejectMalformed(
                     cause instanceof TooLongHttpHeaderException
                             ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
                             : HttpResponseStatus.BAD_REQUEST,
                     String.valueOf(cause.getMessage()));
             return;
         }
-        if (HttpUtil.getContentLength(request, 0L) > gateway.limits().maxBodyBytes()) {
-            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long");
+        if (HttpUtil.getContentLength(request, 0L) > gateway.callerLimits().maxBodyBytes()) {
+            rejectMalformed(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long");
             return;
         }
         head = request;
-        headAt = BootClock.nanos();
+        headReceivedAt = BootClock.nanos();
         body = new ByteArrayOutputStream();
         if (HttpUtil.is100ContinueExpected(request)) {
             context.writeAndFlush(
@@ -210,21 +214,21 @@
                             HttpResponseStatus.CONTINUE,
                             Unpooled.EMPTY_BUFFER));
         }
-        await(gateway.limits().idleTimeout().toMillis(), this::bodyTooSlow);
+        startTimeout(gateway.callerLimits().idleTimeout().toMillis(), this::bodyTimedOut);
     }
 
-    private void add(HttpContent content) {
+    private void addContent(HttpContent content) {
         if (content.decoderResult().isFailure()) {
-            refuse(HttpResponseStatus.BAD_REQUEST, "the body is broken");
+            rejectMalformed(HttpResponseStatus.BAD_REQUEST, "the body is broken");
             return;
         }
         try {
             content.content().readBytes(body, content.content().readableBytes());
         } catch (IOException e) {
-            throw new UncheckedIOException("memory cannot fail to be written", e);
+            throw new UncheckedIOException("cannot write to a byte array", e);
         }
-        if (body.size() > gateway.limits().maxBodyBytes()) {
-            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long");
+        if (body.size() > gateway.callerLimits().maxBodyBytes()) {
+            rejectMalformed(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long");
             return;
         }
         if (content instanceof LastHttpContent) {
@@ -233,68 +237,72 @@
     }
 
     private void relay() {
-        stopWaiting();
+        cancelTimeout();
         CallerRequest request =
                 new CallerRequest(
-                        head.method(), head.uri(), head.headers(), body.toByteArray(), headAt);
-        keep = HttpUtil.isKeepAlive(head);
+                        head.method(),
+                        head.uri(),
+                        head.headers(),
+                        body.toByteArray(),
+                        headReceivedAt);
+        keepAlive = HttpUtil.isKeepAlive(head);
         head = null;
         body = null;
         relayed = new RelayedRequest(gateway, request, this);
         relayed.start();
     }
 
-    /** Takes up what came while the last request was relayed. */
-    private void next() {
+    /** Resumes reading and processes the messages that arrived during the last request. */
+    private void processBacklog() {
         context.channel().config().setAutoRead(true);
         if (backlog.isEmpty()) {
-            await(gateway.limits().idleTimeout().toMillis(), this::rested);
+            startTimeout(gateway.callerLimits().idleTimeout().toMillis(), this::closeIdle);
         }
-        while (!backlog.isEmpty() && relayed == null && !refused) {
-            take(backlog.pollFirst());
+        while (!backlog.isEmpty() && relayed == null && !closing) {
+            process(backlog.pollFirst());
         }
     }
 
-    private void refuse(HttpResponseStatus status, String reason) {
+    private void rejectMalformed(HttpResponseStatus status, String reason) {
         logger.info("request.malformed status={} reason={}", status.code(), reason);
         head = null;
-        refused = true;
-        stopWaiting();
+        closing = true;
+        cancelTimeout();
         FullHttpResponse response = Answers.failure(status, reason, "");
-        mark(response, false);
+        setConnectionHeader(response, false);
         HttpUtil.setContentLength(response, response.content().readableBytes());
         context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 
-    private void headTooSlow() {
-        refuse(HttpResponseStatus.REQUEST_TIMEOUT, "the head did not arrive in time");
+    private void headTimedOut() {
+        rejectMalformed(HttpResponseStatus.REQUEST_TIMEOUT, "the head did not arrive in time");
     }
 
-    private void bodyTooSlow() {
-        refuse(HttpResponseStatus.REQUEST_TIMEOUT, "the body did not arrive in time");
+    private void bodyTimedOut() {
+        rejectMalformed(HttpResponseStatus.REQUEST_TIMEOUT, "the body did not arrive in time");
     }
 
-    private void rested() {
-        refused = true;
+    private void closeIdle() {
+        closing = true;
         context.close();
     }
 
-    private void await(long millis, Runnable then) {
-        stopWaiting();
-        patience = context.executor().schedule(then, millis, TimeUnit.MILLISECONDS);
+    private void startTimeout(long millis, Runnable then) {
+        cancelTimeout();
+        timeout = context.executor().schedule(then, millis, TimeUnit.MILLISECONDS);
     }
 
-    private void stopWaiting() {
-        if (patience != null) {
-            patience.cancel(false);
-            patience = null;
+    private void cancelTimeout() {
+        if (timeout != null) {
+            timeout.cancel(false);
+            timeout = null;
         }
     }
 
-    private static void mark(HttpResponse response, boolean stays) {
+    private static void setConnectionHeader(HttpResponse response, boolean staysOpen) {
         response.headers()
                 .set(
                         HttpHeaderNames.CONNECTION,
-                        stays ? HttpHeaderValues.KEEP_ALIVE : HttpHeaderValues.CLOSE);
+                        staysOpen ? HttpHeaderValues.KEEP_ALIVE : HttpHeaderValues.CLOSE);
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlSubscriber.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/ControlSubscriber.java
@@ -79,8 +79,9 @@
         this.random = random;
         this.primarySelector = new PrimarySelector(settings.peerName(), settings.zone());
         this.routesUpdater = new RoutesUpdater(loop, gateway, this::requestRoutes);
-        gateway.upstreamWords()
-                .setLeavingListener(id -> instanceTable.drain(id).forEach(gateway::changed));
+        gateway.upstreamAnnouncements()
+                .setLeavingListener(
+                        id -> instanceTable.drain(id).forEach(gateway::instanceChanged));
     }
 
     /** Activates routes that have waited long enough for a confirmation. */
@@ -92,7 +93,7 @@
      * Returns whether routes and instances are known, so that callers' requests can be accepted.
      */
     boolean isReady() {
-        return gateway.knowsRoutes() && knowsInstances;
+        return gateway.hasRoutes() && knowsInstances;
     }
 
     /**
@@ -103,8 +104,10 @@
         loop.execute(
                 () -> {
                     connectionNumbers.put(host, random.nextLong(1, Long.MAX_VALUE));
-                    gateway.quarantine().whole().ifPresent(frame -> transport.send(host, frame));
-                    gateway.upstreamWords()
+                    gateway.quarantine()
+                            .fullNotice()
+                            .ifPresent(frame -> transport.send(host, frame));
+                    gateway.upstreamAnnouncements()
                             .leavingFrames()
                             .forEach(frame -> transport.send(host, frame));
                     subscribe(host);
@@ -147,7 +150,7 @@
      */
     int entryHostsPerControlHost() {
         int connected = Math.max(1, controlHosts.connected().size());
-        return Math.ceilDiv(gateway.entryHosts(), connected);
+        return Math.ceilDiv(gateway.entryHostCount(), connected);
     }
 
     /** Switches to another primary as soon as the current one is no longer the best choice. */
@@ -206,9 +209,9 @@
             return;
         }
         update.getInstancesList().forEach(this::updateInstance);
-        gateway.entryHosts(update.getEntryHosts());
+        gateway.setEntryHostCount(update.getEntryHosts());
         knowsInstances |= update.getWhole();
-        gateway.serveWaiting();
+        gateway.dispatchWaiting();
     }
 
     private void updateInstance(InstanceRecord record) {
@@ -217,30 +220,30 @@
                         instance ->
                                 instanceTable
                                         .merge(instance, BootClock.nanos())
-                                        .forEach(gateway::changed))
+                                        .forEach(gateway::instanceChanged))
                 .peekLeft(finding -> logger.warn("upstream.record-refused {}", finding));
     }
 
     private void updateLimits(LimitWords updates) {
         if (gateway.upstreamLimits().receiveUpdates(updates)) {
-            gateway.serveWaiting();
+            gateway.dispatchWaiting();
         }
     }
 
     private void receivePermitReply(PermitReply reply) {
         if (gateway.upstreamLimits().receivePermitReply(reply)) {
-            gateway.serveWaiting();
+            gateway.dispatchWaiting();
         }
     }
 
     private void receiveCrashNotice(CrashNotice notice) {
         gateway.quarantine().received(notice);
-        gateway.serveWaiting();
+        gateway.dispatchWaiting();
     }
 
     private void updateWork(WorkReport report) {
         long now = BootClock.nanos();
-        workBoard.setHostCount(gateway.entryHosts());
+        workBoard.setHostCount(gateway.entryHostCount());
         workBoard.receive(report, now);
         gateway.dispatcher().updateRemoteRequests(workBoard.maxRequests(now), now);
         gateway.dispatcher().updateRemoteUnreadTokens(workBoard.maxUnreadTokens(now), now);
@@ -254,7 +257,7 @@
         evacuatedZones = newest;
         logger.info("evacuations.in-force revision={} zones={}", newest.revision(), newest.zones());
         gateway.dispatcher().setEvacuatedZones(newest);
-        gateway.serveWaiting();
+        gateway.dispatchWaiting();
     }
 
     private void updateResidency(ResidencyChange change) {
@@ -265,7 +268,7 @@
                             new ModelId(change.getModel()),
                             Duration.ofMillis(change.getComingMillis()),
                             BootClock.nanos());
-            gateway.serveWaiting();
+            gateway.dispatchWaiting();
             return;
         }
         gateway.dispatcher()
@@ -275,7 +278,7 @@
                         Optional.of(change.getAdapter()).filter(name -> !name.isEmpty()),
                         change.getResident(),
                         BootClock.nanos());
-        gateway.serveWaiting();
+        gateway.dispatchWaiting();
     }
 
     /** Requests the complete newest configuration from a random connected control host. */
--- /dev/null
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/CrashProbe.java
@@ -0,0 +1,102 @@
+package io.stackhall.server.gateway;
+
+import io.netty.channel.EventLoop;
+import io.stackhall.core.fleet.Instance;
+import io.stackhall.core.id.UpstreamId;
+import io.stackhall.server.clock.BootClock;
+import io.stackhall.server.relay.UpstreamClient;
+import io.stackhall.server.settings.Address;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+
+/**
+ * Determines whether an instance that interrupted a request has crashed or has only lost a
+ * connection: after a crash, connections to its address are refused.
+ *
+ * <p>In the other cases, such as a connection that is reset or cut, an instance that is slow or
+ * unresponsive, or a single answer that is cut short, a new connection is accepted or times out,
+ * but is not refused. Used on one event loop.
+ */
+final class CrashProbe {
+
+    /**
+     * Time for which a crash is remembered, long enough for every connection of the incarnation to
+     * have been closed as well.
+     */
+    private static final long RETENTION_NANOS = TimeUnit.SECONDS.toNanos(5);
+
+    /**
+     * Delay before a second probe. The connections of a process that ends may be closed before its
+     * listening socket: of 3,000 connections that were opened right after the first was closed, 200
+     * were still accepted or reset (two sockets of one process).
+     */
+    private static final long LISTENER_CLOSE_DELAY_MILLIS = 100;
+
+    private final EventLoop loop;
+    private final UpstreamClient upstreams;
+    private final Map<UpstreamId, Long> crashed = new HashMap<>();
+    private final Map<UpstreamId, List<Consumer<Boolean>>> pending = new HashMap<>();
+
+    CrashProbe(EventLoop loop, UpstreamClient upstreams) {
+        this.loop = loop;
+        this.upstreams = upstreams;
+    }
+
+    /**
+     * Checks whether an incarnation has crashed. Concurrent checks of one incarnation share a
+     * probe.
+     *
+     * @param result receives whether it has crashed, at once if that is already known
+     */
+    void check(Instance instance, Consumer<Boolean> result) {
+        if (crashed.containsKey(instance.id())) {
+            result.accept(true);
+            return;
+        }
+        List<Consumer<Boolean>> others = pending.get(instance.id());
+        if (others != null) {
+            others.add(result);
+            return;
+        }
+        pending.put(instance.id(), new ArrayList<>(List.of(result)));
+        upstreams.probe(
+                Address.parse(instance.address()), refused -> probed(instance.id(), refused));
+    }
+
+    /**
+     * Checks again, after a delay, whether an incarnation whose address did not refuse a connection
+     * has crashed.
+     *
+     * @param onCrash run if it has
+     */
+    void checkLater(Instance instance, Runnable onCrash) {
+        loop.schedule(
+                () ->
+                        check(
+                                instance,
+                                hasCrashed -> {
+                                    if (hasCrashed) {
+                                        onCrash.run();
+                                    }
+                                }),
+                LISTENER_CLOSE_DELAY_MILLIS,
+                TimeUnit.MILLISECONDS);
+    }
+
+    /** Removes crashes that are older than the retention time. */
+    void sweep() {
+        long now = BootClock.nanos();
+        crashed.values().removeIf(at -> now - at > RETENTION_NANOS);
+    }
+
+    private void probed(UpstreamId incarnation, boolean refused) {
+        if (refused) {
+            crashed.put(incarnation, BootClock.nanos());
+        }
+        pending.remove(incarnation).forEach(result -> result.accept(refused));
+    }
+}
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/EntryDaemon.java
@@ -43,68 +43,80 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** A process of the entry role. */
+/** A process of the entry role, which relays the requests of callers to upstreams. */
 public final class EntryDaemon implements FleetDaemon {
 
     private static final Logger logger = LogManager.getLogger(EntryDaemon.class);
 
-    private static final long FOLLOW_MILLIS = 1000;
-    private static final long DEMAND_MILLIS = 500;
+    private static final long SYNC_INTERVAL_MILLIS = 1000;
+    private static final long DEMAND_INTERVAL_MILLIS = 500;
 
-    /** How often it is seen whether a report of this host's work is due. */
-    private static final long WORK_MILLIS = 150;
+    /** Interval at which it is checked whether a report of this host's requests is due. */
+    private static final long WORK_CHECK_INTERVAL_MILLIS = 150;
 
-    /** The balancer leaves a host that was not ready twice, a second apart. */
-    private static final Duration BALANCER_LEAVES = Duration.ofMillis(2500);
+    /**
+     * Time after which the load balancer sends no more connections here: it removes a host that has
+     * failed two readiness checks, which are 1 s apart.
+     */
+    private static final Duration BALANCER_REACTION_TIME = Duration.ofMillis(2500);
 
-    /** Left of the grace when the process ends at the latest. */
+    /** Part of the stop grace period that is left over when the process stops at the latest. */
     private static final Duration GRACE_MARGIN = Duration.ofMillis(700);
 
-    /** What has not been sent by then is refused, in time for its caller to read it. */
-    private static final Duration WAITING_ENDS_BEFORE = Duration.ofMillis(1500);
+    /**
+     * Time before the end of the drain at which requests that have not been sent are refused, so
+     * that their callers can still read the refusal.
+     */
+    private static final Duration REFUSAL_LEAD_TIME = Duration.ofMillis(1500);
 
-    private static final Duration DRAIN_POLL = Duration.ofMillis(50);
+    private static final Duration DRAIN_POLL_INTERVAL = Duration.ofMillis(50);
 
-    /** Several confirmations may be lost before this host's keys stop counting. */
-    private static final int CONFIRMATIONS_IN_REVOCATION = 6;
+    /**
+     * Confirmations per key revocation time: several in a row may be lost before this host no
+     * longer accepts keys.
+     */
+    private static final int CONFIRMATIONS_PER_REVOCATION_TIME = 6;
 
-    /** How many entry hosts share the slack for resends, until the control hosts have told. */
+    /**
+     * Number of entry hosts that are assumed to share the slack for retries until the control hosts
+     * have reported it.
+     */
     private static final int ASSUMED_ENTRY_HOSTS = 10;
 
-    private static final int BACKLOG = 512;
-    private static final int READY = 200;
-    private static final int NOT_READY = 503;
+    private static final int ACCEPT_BACKLOG = 512;
+    private static final int OK = 200;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     private final FleetSettings settings;
     private final FleetSettings.Entry entry;
-    private final MultiThreadIoEventLoopGroup threads =
+    private final MultiThreadIoEventLoopGroup eventLoops =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop loop = threads.next();
+    private final EventLoop loop = eventLoops.next();
     private final PeerTransport transport;
-    private final ControlHosts hosts;
+    private final ControlHosts controlHosts;
     private final Gateway gateway;
     private final ControlSubscriber follower;
     private final EntryReporter reports;
     private final UpstreamClient upstreams;
-    private Channel callers;
-    private Channel readiness;
-    private Optional<Channel> metrics = Optional.empty();
+    private Channel callerChannel;
+    private Channel readinessChannel;
+    private Optional<Channel> metricsChannel = Optional.empty();
 
-    /** Creates a process that does not run yet. */
+    /** Creates a process that is not started yet. */
     public EntryDaemon(FleetSettings settings, FleetSettings.Entry entry) {
         this.settings = settings;
         this.entry = entry;
         Random random = new Random();
         FleetSettings.Limits limits = settings.limits();
-        this.transport = new PeerTransport(settings.peers(), threads, FleetDaemon.PEER_TIMING);
-        this.hosts = new ControlHosts(settings, transport, this::connected);
+        this.transport = new PeerTransport(settings.peers(), eventLoops, FleetDaemon.PEER_TIMING);
+        this.controlHosts = new ControlHosts(settings, transport, this::controlHostConnected);
         this.upstreams = new UpstreamClient(loop, Headers.REQUEST_ID);
         LimitedUpstreams limited = new LimitedUpstreams(settings.peerName(), random);
         limited.setHostCount(ASSUMED_ENTRY_HOSTS);
-        FleetMetrics figures = new FleetMetrics();
+        FleetMetrics fleetMetrics = new FleetMetrics();
         UpstreamLimitClient upstreamLimits =
                 new UpstreamLimitClient(
-                        settings.peerName(), loop, limited, new ControlLinks(), figures);
+                        settings.peerName(), loop, limited, new ControlConnections(), fleetMetrics);
         this.gateway =
                 new Gateway(
                         loop,
@@ -118,13 +130,14 @@
                                 limits.retrySlack(),
                                 ASSUMED_ENTRY_HOSTS,
                                 limits.retryWindow()),
-                        new ControlNotifier(settings.peerName(), this::tellControlHosts),
+                        new ControlNotifier(settings.peerName(), this::sendToControlHosts),
                         customerGate(random),
-                        this::tellControlHosts,
+                        this::sendToControlHosts,
                         upstreamLimits,
-                        figures,
+                        fleetMetrics,
                         random);
-        this.follower = new ControlSubscriber(settings, loop, transport, hosts, gateway, random);
+        this.follower =
+                new ControlSubscriber(settings, loop, transport, controlHosts, gateway, random);
         this.reports = new EntryReporter(settings, gateway, follower);
         gateway.onNewlyWaiting(reports::reportDemand);
     }
@@ -132,22 +145,23 @@
     @Override
     public void start() {
         transport.open(follower::receive);
-        hosts.start();
-        callers = listen(entry.callers(), new CallerChannels());
-        readiness = SimpleHttpServer.listen(threads, entry.readiness(), this::readinessAnswer);
-        metrics =
+        controlHosts.start();
+        callerChannel = listen(entry.callers(), new CallerChannelInitializer());
+        readinessChannel =
+                SimpleHttpServer.listen(eventLoops, entry.readiness(), this::readinessAnswer);
+        metricsChannel =
                 settings.metrics()
-                        .map(at -> SimpleHttpServer.listen(threads, at, this::metricsAnswer));
-        RepeatedTask.every(loop, FOLLOW_MILLIS, this::follow);
-        RepeatedTask.every(loop, DEMAND_MILLIS, reports::reportDemand);
-        RepeatedTask.every(loop, WORK_MILLIS, reports::reportWork);
+                        .map(at -> SimpleHttpServer.listen(eventLoops, at, this::metricsAnswer));
+        RepeatedTask.every(loop, SYNC_INTERVAL_MILLIS, this::synchronize);
+        RepeatedTask.every(loop, DEMAND_INTERVAL_MILLIS, reports::reportDemand);
+        RepeatedTask.every(loop, WORK_CHECK_INTERVAL_MILLIS, reports::reportWork);
         settings.limits()
                 .keyRevocation()
                 .ifPresent(
                         time ->
                                 RepeatedTask.every(
                                         loop,
-                                        time.toMillis() / CONFIRMATIONS_IN_REVOCATION,
+                                        time.toMillis() / CONFIRMATIONS_PER_REVOCATION_TIME,
                                         follower::requestConfirmation));
         RepeatedTask.every(
                 loop, HostPauseDetector.TICK_INTERVAL.toMillis(), gateway.quarantine()::tick);
@@ -160,7 +174,7 @@
 
     @Override
     public void reload(FleetSettings next) {
-        hosts.setSeeds(next.seedPeers());
+        controlHosts.setSeeds(next.seedPeers());
     }
 
     @Override
@@ -168,32 +182,34 @@
         long started = BootClock.nanos();
         logger.info("daemon.draining host={}", settings.host());
         loop.execute(gateway::drain);
-        long leave = started + BALANCER_LEAVES.toNanos();
+        long stopAccepting = started + BALANCER_REACTION_TIME.toNanos();
         long end = started + settings.limits().stopGrace().minus(GRACE_MARGIN).toNanos();
-        pauseUntil(leave);
-        callers.close();
-        loop.execute(gateway::closeResting);
-        long refuse = end - WAITING_ENDS_BEFORE.toNanos();
-        awaitNoCallers(refuse);
+        pauseUntil(stopAccepting);
+        callerChannel.close();
+        loop.execute(gateway::closeIdleConnections);
+        long refuseAt = end - REFUSAL_LEAD_TIME.toNanos();
+        awaitNoCallers(refuseAt);
         loop.execute(gateway::refuseWaiting);
         awaitNoCallers(end);
         logger.info(
-                "daemon.drained host={} connections={}", settings.host(), gateway.connections());
+                "daemon.drained host={} connections={}",
+                settings.host(),
+                gateway.connectionCount());
     }
 
     @Override
     public void close() {
-        callers.close();
-        readiness.close();
-        metrics.ifPresent(Channel::close);
+        callerChannel.close();
+        readinessChannel.close();
+        metricsChannel.ifPresent(Channel::close);
         transport.close();
-        threads.terminationFuture().awaitUninterruptibly(FleetDaemon.CLOSE_TIMEOUT_MILLIS);
+        eventLoops.terminationFuture().awaitUninterruptibly(FleetDaemon.CLOSE_TIMEOUT_MILLIS);
         logger.info("daemon.stopped host={}", settings.host());
     }
 
     private void awaitNoCallers(long until) {
-        while (BootClock.nanos() - until < 0 && gateway.connections() > 0) {
-            pauseUntil(BootClock.nanos() + DRAIN_POLL.toNanos());
+        while (BootClock.nanos() - until < 0 && gateway.connectionCount() > 0) {
+            pauseUntil(BootClock.nanos() + DRAIN_POLL_INTERVAL.toNanos());
         }
     }
 
@@ -203,24 +219,28 @@
         return new CustomerAccess(
                 new KeyLease(limits.keyRevocation()),
                 outage,
-                new AllowanceClient(loop, new ControlLinks(), outage, this::entryHosts));
+                new AllowanceClient(
+                        loop, new ControlConnections(), outage, this::assumedEntryHostCount));
     }
 
-    /** Before the control hosts have told how many there are, few would each take too much. */
-    private int entryHosts() {
-        return Math.max(ASSUMED_ENTRY_HOSTS, gateway.entryHosts());
+    /**
+     * Returns the number of entry hosts among which allowances are divided. Until the control hosts
+     * have reported it, too low a number would let each host take too much.
+     */
+    private int assumedEntryHostCount() {
+        return Math.max(ASSUMED_ENTRY_HOSTS, gateway.entryHostCount());
     }
 
-    private void connected(HostId host) {
+    private void controlHostConnected(HostId host) {
         follower.onConnected(host);
     }
 
-    private void tellControlHosts(Frame frame) {
+    private void sendToControlHosts(Frame frame) {
         follower.sendToAll(frame);
     }
 
-    private void follow() {
-        hosts.checkConnections();
+    private void synchronize() {
+        controlHosts.checkConnections();
         upstreams.sweep();
         gateway.notices().sweep();
         gateway.quarantine().sweep();
@@ -230,9 +250,9 @@
 
     private Channel listen(Address address, ChannelHandler channels) {
         return new ServerBootstrap()
-                .group(threads)
+                .group(eventLoops)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .childHandler(channels)
                 .bind(address.socket())
                 .syncUninterruptibly()
@@ -240,19 +260,19 @@
     }
 
     private static void pauseUntil(long time) {
-        long left = time - BootClock.nanos();
-        if (left <= 0) {
+        long remaining = time - BootClock.nanos();
+        if (remaining <= 0) {
             return;
         }
         try {
-            TimeUnit.NANOSECONDS.sleep(left);
+            TimeUnit.NANOSECONDS.sleep(remaining);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** The way to the control hosts for questions about allowances and limits. */
-    private final class ControlLinks implements ControlHostConnections {
+    /** The connections to the control hosts over which allowances and limits are requested. */
+    private final class ControlConnections implements ControlHostConnections {
         @Override
         public boolean send(HostId host, Frame frame) {
             return transport.send(host, frame);
@@ -260,12 +280,12 @@
 
         @Override
         public List<HostId> connected() {
-            return hosts.knownHosts().stream().filter(transport::connected).toList();
+            return controlHosts.knownHosts().stream().filter(transport::connected).toList();
         }
     }
 
-    /** Connections of callers. */
-    private final class CallerChannels extends ChannelInitializer<SocketChannel> {
+    /** Sets up the pipeline of a caller's connection. */
+    private final class CallerChannelInitializer extends ChannelInitializer<SocketChannel> {
         @Override
         protected void initChannel(SocketChannel channel) {
             channel.config().setTcpNoDelay(true);
@@ -276,11 +296,11 @@
                                 @Override
                                 public void channelRead(
                                         ChannelHandlerContext context, Object bytes) {
-                                    connection.bytesArrived();
+                                    connection.bytesReceived();
                                     context.fireChannelRead(bytes);
                                 }
                             },
-                            new RequestDecoder(gateway.limits()),
+                            new RequestDecoder(gateway.callerLimits()),
                             new HttpResponseEncoder(),
                             connection);
         }
@@ -291,12 +311,12 @@
                 path.equals(Calls.READINESS)
                         && follower.isReady()
                         && gateway.customers().isReady()
-                        && !gateway.draining();
-        return new SimpleHttpServer.Response(ready ? READY : NOT_READY, new byte[0]);
+                        && !gateway.isDraining();
+        return new SimpleHttpServer.Response(ready ? OK : SERVICE_UNAVAILABLE, new byte[0]);
     }
 
     private SimpleHttpServer.Response metricsAnswer(String path) {
-        gateway.measure();
-        return new SimpleHttpServer.Response(READY, gateway.metrics().scrape());
+        gateway.updateMetrics();
+        return new SimpleHttpServer.Response(OK, gateway.metrics().scrape());
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/FinalAnswer.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/FinalAnswer.java
@@ -6,16 +6,16 @@
 import java.time.Duration;
 
 /**
- * The last word of this system's own on one request, to its caller and to the log.
+ * Ends one request with an answer that does not come from an upstream, and logs it.
  *
- * <p>What it may say depends on how far the request came: until a byte of it was written to an
- * upstream, or after the upstream itself has said so, it has not run and may be refused. After that
- * it may have run, and its caller is told that the outcome is unknown.
+ * <p>The answer depends on how far the request got. A request of which no byte was written to an
+ * upstream, or whose upstream has reported that it did not run it, has not run and may be refused.
+ * Any other request may have run, and its caller is told that the outcome is unknown.
  */
 final class FinalAnswer {
 
-    static final Duration SOON = Duration.ofMillis(300);
-    static final String BROKE_OFF = "the instance broke off";
+    static final Duration SHORT_RETRY_DELAY = Duration.ofMillis(300);
+    static final String INTERRUPTED = "the instance broke off";
 
     private final Gateway gateway;
     private final CallerRequest request;
@@ -27,9 +27,9 @@
     private Need need;
 
     /**
-     * Creates the end of a request.
+     * Creates the final answer of a request.
      *
-     * @param close ends all work on the request
+     * @param close ends all processing of the request
      */
     FinalAnswer(
             Gateway gateway,
@@ -48,75 +48,75 @@
         this.close = close;
     }
 
-    /** Notes what the request needs of an instance. */
-    void about(Need known) {
+    /** Sets what the request needs of an instance, for the log. */
+    void setNeed(Need known) {
         need = known;
     }
 
-    /** Ends a request that waited in vain. */
+    /** Ends a request that has waited without success. */
     void giveUp(String reason, Duration retryAfter) {
         if (stream.hasBegun()) {
-            breakOff(reason);
+            abort(reason);
         } else if (history.mayHaveRun()) {
-            finish(HttpResponseStatus.BAD_GATEWAY, "the outcome is unknown: " + reason);
+            fail(HttpResponseStatus.BAD_GATEWAY, "the outcome is unknown: " + reason);
         } else {
             refuse(reason, retryAfter);
         }
     }
 
-    /** Ends a request that its caller may not have run, or not now. */
+    /** Ends a request that its caller has no right to run, or not at this time. */
     void deny(Decision.Refused refused) {
         if (stream.hasBegun() || history.mayHaveRun()) {
-            giveUp(refused.reason(), SOON);
+            giveUp(refused.reason(), SHORT_RETRY_DELAY);
         } else if (refused.retryAfter().isPresent()) {
             refuse(refused.status(), refused.reason(), refused.retryAfter().get());
         } else {
-            finish(refused.status(), refused.reason());
+            fail(refused.status(), refused.reason());
         }
     }
 
-    /** Ends a request whose caller waits no longer. */
-    void outOfTime() {
+    /** Ends a request whose deadline has passed. */
+    void timeOut() {
         if (stream.hasBegun()) {
-            breakOff("its time has passed");
-        } else if (history.sends() == 0) {
-            refuse("its time has passed", SOON);
+            abort("its time has passed");
+        } else if (history.sendCount() == 0) {
+            refuse("its time has passed", SHORT_RETRY_DELAY);
         } else {
-            finish(HttpResponseStatus.GATEWAY_TIMEOUT, "no answer came in time");
+            fail(HttpResponseStatus.GATEWAY_TIMEOUT, "no answer came in time");
         }
     }
 
-    /** Ends a request that its instance broke off. */
-    void endBroken() {
+    /** Ends a request that its instance has interrupted. */
+    void failInterrupted() {
         if (stream.hasBegun()) {
-            breakOff(BROKE_OFF);
+            abort(INTERRUPTED);
         } else {
-            finish(HttpResponseStatus.BAD_GATEWAY, BROKE_OFF);
+            fail(HttpResponseStatus.BAD_GATEWAY, INTERRUPTED);
         }
     }
 
-    /** Says that the request has not run, and when it is worth another try. */
+    /** Answers that the request has not run, and after which time a retry makes sense. */
     void refuse(String reason, Duration retryAfter) {
         refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, reason, retryAfter);
     }
 
     private void refuse(HttpResponseStatus status, String reason, Duration retryAfter) {
-        long version = gateway.knowsRoutes() ? gateway.routes().version() : -1;
-        log.refused(need, reason, retryAfter, history.sends(), version);
+        long version = gateway.hasRoutes() ? gateway.routes().version() : -1;
+        log.refused(need, reason, retryAfter, history.sendCount(), version);
         close.run();
         answers.writeAnswer(Answers.refusal(status, reason, request.id(), retryAfter));
     }
 
-    /** Says that the request has failed, and promises nothing. */
-    void finish(HttpResponseStatus status, String reason) {
-        log.failed(status.code(), reason, history.sends());
+    /** Answers that the request has failed, with no promise that it has not run. */
+    void fail(HttpResponseStatus status, String reason) {
+        log.failed(status.code(), reason, history.sendCount());
         close.run();
         answers.writeAnswer(Answers.failure(status, reason, request.id()));
     }
 
-    /** Ends an answer that has begun, so that its caller sees that it is not whole. */
-    private void breakOff(String reason) {
-        log.brokenOff(reason, stream.lastEventId(), history.sends());
+    /** Aborts an answer that has begun, so that the caller can see that it is incomplete. */
+    private void abort(String reason) {
+        log.aborted(reason, stream.lastEventId(), history.sendCount());
         close.run();
         answers.abort();
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/Gateway.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/Gateway.java
@@ -34,18 +34,21 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** What all requests of one entry host share. Used on one event loop. */
+/** The state that all requests of one entry host share. Used on one event loop. */
 final class Gateway {
 
     private static final Logger logger = LogManager.getLogger(Gateway.class);
 
-    /** Between two looks at what waits: a thirtieth of the shortest objectives seen. */
-    private static final long WAITING_MILLIS = 25;
+    /**
+     * Interval at which waiting requests are reconsidered: a thirtieth of the shortest latency
+     * objectives in use.
+     */
+    private static final long RECHECK_INTERVAL_MILLIS = 25;
 
     private final EventLoop loop;
     private final Dispatcher dispatcher;
     private final UpstreamClient upstreams;
-    private final RetryLimiter retries;
+    private final RetryLimiter retryLimiter;
     private final RandomGenerator random;
     private final WaitingRequests waiting;
     private final DemandCounts demand = new DemandCounts();
@@ -54,16 +57,16 @@
     private final Quarantine quarantine;
     private final CustomerAccess customers;
     private final FleetMetrics metrics;
-    private final UpstreamLimitClient limits;
-    private final UpstreamAnnouncements words;
-    private final LineBudget lines = new LineBudget();
+    private final UpstreamLimitClient upstreamLimits;
+    private final UpstreamAnnouncements upstreamAnnouncements;
+    private final LineBudget lineBudget = new LineBudget();
     private RouteTable routes;
     private final RequestsAwaitingRoutes firstRoutes = new RequestsAwaitingRoutes();
     private boolean draining;
     private boolean closing;
-    private int entryHosts;
-    private Runnable newlyWaiting = () -> {};
-    private boolean lookScheduled;
+    private int entryHostCount;
+    private Runnable newlyWaitingListener = () -> {};
+    private boolean recheckScheduled;
 
     Gateway(
             EventLoop loop,
@@ -79,19 +82,19 @@
         this.loop = loop;
         this.dispatcher = dispatcher;
         this.upstreams = upstreams;
-        this.retries = retries;
+        this.retryLimiter = retries;
         this.notices = notices;
         this.customers = customers;
-        this.limits = limits;
-        this.words = new UpstreamAnnouncements(limits, dispatcher, notices);
+        this.upstreamLimits = limits;
+        this.upstreamAnnouncements = new UpstreamAnnouncements(limits, dispatcher, notices);
         this.waiting = new WaitingRequests(limits::resetWaiting);
         this.metrics = metrics;
         this.quarantine = new Quarantine(loop, dispatcher, upstreams, metrics, toControlHosts);
         this.random = random;
     }
 
-    /** Takes over newer routes. */
-    void routes(RouteTable next) {
+    /** Puts routes into force, unless those in force are as new or newer. */
+    void setRoutes(RouteTable next) {
         if (routes != null && next.version() <= routes.version()) {
             return;
         }
@@ -110,23 +113,23 @@
         dispatcher.setColdRequestsPerSecond(next.coldRequestRates());
         customers.setCustomers(next.customers());
         firstRoutes.resumeAll();
-        serveWaiting();
+        dispatchWaiting();
     }
 
-    /** Takes in what is newly known of an instance. */
-    void changed(Instance instance) {
+    /** Applies a change of an instance. */
+    void instanceChanged(Instance instance) {
         logChange(instance);
         dispatcher.updateInstance(instance);
-        quarantine.heardOf(instance.id());
+        quarantine.instanceAnnounced(instance.id());
         if (instance.state() == InstanceState.GONE) {
             upstreams.forget(Address.parse(instance.address()));
-            words.forget(instance.id());
+            upstreamAnnouncements.forget(instance.id());
         }
     }
 
     /**
-     * A line for each state that an instance comes to; what it holds stands in the lines of the
-     * control hosts. With what it holds in it, 20 hosts wrote 217 KB in 8 s before any request.
+     * Logs each change of an instance's state. The models that it holds are left to the log of the
+     * control hosts: with them in this line, 20 hosts wrote 217 KB in 8 s before any request.
      */
     private void logChange(Instance instance) {
         boolean known =
@@ -144,68 +147,71 @@
         }
     }
 
-    /** Decides where a request goes now; one that may end instances goes apart from the others. */
+    /** Chooses an instance for a request; a request suspected of crashing instances is isolated. */
     Choice choose(
             Standing standing,
             RequestDigest digest,
             Need need,
             Predicate<UpstreamId> allowed,
-            Duration left,
+            Duration remaining,
             long now) {
         return standing instanceof Standing.Suspect
-                ? quarantine.choose(digest, need, allowed, !left.isPositive(), now)
-                : dispatcher.choose(need, allowed, left, now);
+                ? quarantine.choose(digest, need, allowed, !remaining.isPositive(), now)
+                : dispatcher.choose(need, allowed, remaining, now);
     }
 
-    /** Tries to send what waits, the most urgent first. */
-    void serveWaiting() {
+    /** Reconsiders all waiting requests, in the order of {@link WaitingRequests}. */
+    void dispatchWaiting() {
         waiting.retryAll();
-        limits.scheduleCheck();
+        upstreamLimits.scheduleCheck();
     }
 
-    /** While something waits, it is looked at again and again: time alone may decide about it. */
-    private void lookAgainLater() {
-        if (!lookScheduled && !waiting.isEmpty()) {
-            lookScheduled = true;
-            loop.schedule(this::lookAgain, WAITING_MILLIS, TimeUnit.MILLISECONDS);
+    /**
+     * Schedules the next check while any request waits: the passage of time alone may let a request
+     * be sent or refused.
+     */
+    private void scheduleRecheck() {
+        if (!recheckScheduled && !waiting.isEmpty()) {
+            recheckScheduled = true;
+            loop.schedule(this::recheckWaiting, RECHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void lookAgain() {
-        lookScheduled = false;
+    private void recheckWaiting() {
+        recheckScheduled = false;
         try {
-            serveWaiting();
+            dispatchWaiting();
             if (demand.hasNewlyWaiting()) {
-                newlyWaiting.run();
+                newlyWaitingListener.run();
             }
         } finally {
-            lookAgainLater();
+            scheduleRecheck();
         }
     }
 
-    /** Stops keeping connections open. */
+    /** Closes connections after their current answer from now on. */
     void drain() {
         draining = true;
     }
 
-    /** Refuses what has not been sent, and from now on whatever comes. */
+    /** Refuses the requests that have not been sent, and every request that arrives later. */
     void refuseWaiting() {
         closing = true;
         firstRoutes.resumeAll();
         waiting.retryAll();
     }
 
-    /** Closes the connections on which nothing is under way. */
-    void closeResting() {
-        List.copyOf(connections).forEach(CallerConnection::closeIfResting);
+    /** Closes the connections that have no request in progress. */
+    void closeIdleConnections() {
+        List.copyOf(connections).forEach(CallerConnection::closeIfIdle);
     }
 
-    /** Returns whether the process is about to end, so that nothing more is sent. */
-    boolean closing() {
+    /** Returns whether the process is about to stop, so that no more requests are sent. */
+    boolean isClosing() {
         return closing;
     }
 
-    boolean draining() {
+    boolean isDraining() {
         return draining;
     }
 
@@ -213,24 +219,24 @@
         return metrics;
     }
 
-    LineBudget lines() {
-        return lines;
+    LineBudget lineBudget() {
+        return lineBudget;
     }
 
-    /** Brings the measures of the present state up to date. */
-    void measure() {
+    /** Updates the gauges of the current state. */
+    void updateMetrics() {
         metrics.state("routes_version", routes == null ? -1.0 : (double) routes.version());
         metrics.state("instances", dispatcher.instances().size());
         metrics.state("waiting", waiting.size());
-        metrics.state("resends_left", retries.remaining());
+        metrics.state("resends_left", retryLimiter.remaining());
         metrics.state("caller_connections", connections.size());
-        quarantine.measure();
-        limits.measure();
+        quarantine.updateMetrics();
+        upstreamLimits.measure();
         metrics.state("resting_upstreams", dispatcher.restingCount());
     }
 
-    /** Returns how many callers are connected. */
-    int connections() {
+    /** Returns the number of open connections from callers. */
+    int connectionCount() {
         return connections.size();
     }
 
@@ -246,7 +252,7 @@
         return upstreams;
     }
 
-    boolean knowsRoutes() {
+    boolean hasRoutes() {
         return routes != null;
     }
 
@@ -254,38 +260,38 @@
         return routes;
     }
 
-    CallerLimits limits() {
+    CallerLimits callerLimits() {
         return routes == null ? CallerLimits.initial() : routes.limits();
     }
 
-    /** Returns a number by which a request's share of a split is drawn. */
-    int ticket() {
+    /** Draws a random number that selects one service of a route's traffic split. */
+    int drawTicket() {
         return random.nextInt(Integer.MAX_VALUE);
     }
 
-    /** Takes in how many entry hosts there are. */
-    void entryHosts(int seen) {
-        entryHosts = seen;
-        retries.updateHostCount(seen);
-        dispatcher.setHostCount(seen);
+    /** Sets the number of entry hosts, which share limits among them. */
+    void setEntryHostCount(int count) {
+        entryHostCount = count;
+        retryLimiter.updateHostCount(count);
+        dispatcher.setHostCount(count);
     }
 
-    /** Returns how many entry hosts there are, as far as the control hosts have told. */
-    int entryHosts() {
-        return entryHosts;
+    /** Returns the number of entry hosts that the control hosts have reported, 0 before that. */
+    int entryHostCount() {
+        return entryHostCount;
     }
 
-    /** Has somebody told when requests for a model begin to wait. */
+    /** Sets the listener to call when requests for a model have begun to wait. */
     void onNewlyWaiting(Runnable listener) {
-        newlyWaiting = listener;
+        newlyWaitingListener = listener;
     }
 
-    boolean mayResend(ServiceName service, long now) {
-        return retries.tryTake(service, now);
+    boolean tryAcquireRetry(ServiceName service, long now) {
+        return retryLimiter.tryTake(service, now);
     }
 
-    void arrived(Need need) {
-        retries.recordRequest(need.service(), BootClock.nanos());
+    void requestArrived(Need need) {
+        retryLimiter.recordRequest(need.service(), BootClock.nanos());
         demand.recordArrival(need);
     }
 
@@ -306,57 +312,59 @@
     }
 
     UpstreamLimitClient upstreamLimits() {
-        return limits;
+        return upstreamLimits;
     }
 
-    UpstreamAnnouncements upstreamWords() {
-        return words;
+    UpstreamAnnouncements upstreamAnnouncements() {
+        return upstreamAnnouncements;
     }
 
-    void waits(RelayedRequest request) {
+    void addWaiting(RelayedRequest request) {
         waiting.add(request);
         demand.recordWaitStart(request.need());
-        limits.scheduleCheck();
-        lookAgainLater();
+        upstreamLimits.scheduleCheck();
+        scheduleRecheck();
     }
 
     RequestsAwaitingRoutes firstRoutes() {
         return firstRoutes;
     }
 
-    /** Returns how many requests for the same model are served before one. */
-    int waitingBefore(RelayedRequest request) {
+    /**
+     * Returns the number of waiting requests for the same model that are served before this one.
+     */
+    int countWaitingBefore(RelayedRequest request) {
         return waiting.countAhead(request);
     }
 
-    /** An instance has read a prompt, so that it may take another. */
-    void promptRead() {
+    /** Called when an instance has processed a prompt, so that it may accept another request. */
+    void promptProcessed() {
         if (!waiting.isEmpty()) {
-            loop.execute(this::serveWaiting);
+            loop.execute(this::dispatchWaiting);
         }
     }
 
-    /** A waiting request has been sent or answered. */
-    void waitsNoMore(RelayedRequest request) {
+    /** Removes a request that no longer waits, if it did. */
+    void removeWaiting(RelayedRequest request) {
         if (waiting.remove(request)) {
             demand.recordWaitEnd(request.need());
         }
     }
 
-    /** A request has ended, which may have made room for another. */
-    void gone(RelayedRequest request) {
+    /** Removes a request that has ended, which may have freed a slot for another one. */
+    void requestEnded(RelayedRequest request) {
         firstRoutes.remove(request);
-        waitsNoMore(request);
+        removeWaiting(request);
         if (!waiting.isEmpty()) {
-            loop.execute(this::serveWaiting);
+            loop.execute(this::dispatchWaiting);
         }
     }
 
-    void opened(CallerConnection connection) {
+    void connectionOpened(CallerConnection connection) {
         connections.add(connection);
     }
 
-    void closed(CallerConnection connection) {
+    void connectionClosed(CallerConnection connection) {
         connections.remove(connection);
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/Quarantine.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/Quarantine.java
@@ -36,23 +36,27 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Keeps the requests of one entry host that end instances from ending more of them, and shares with
- * the control hosts what it sees. Used on one event loop.
+ * Keeps requests that crash the instances that run them from crashing more of them, and exchanges
+ * the crashes that it observes with the control hosts. One per entry host; used on one event loop.
+ *
+ * <p>A suspect is a request that was in progress at an instance that crashed: it runs isolated from
+ * other suspects. A condemned request is refused. A request that ends without a crash is acquitted
+ * of the crashes before. A sentence is a refusal that all hosts have agreed on.
  */
 final class Quarantine {
 
     private static final Logger logger = LogManager.getLogger(Quarantine.class);
 
     private final Dispatcher dispatcher;
-    private final SuspectDispatcher apart;
-    private final EndedLives lives;
+    private final SuspectDispatcher suspectDispatcher;
+    private final CrashProbe crashProbe;
     private final FleetMetrics metrics;
     private final Consumer<Frame> toControlHosts;
     private final CrashLedger ledger = new CrashLedger();
-    private final UnconfirmedCrashes unexplained = new UnconfirmedCrashes();
-    private final SuspectIsolation trials = new SuspectIsolation();
-    private final HostPauseDetector pauses = new HostPauseDetector(BootClock.nanos());
-    private final Map<RequestDigest, Set<RelayedRequest>> underWay = new HashMap<>();
+    private final UnconfirmedCrashes unconfirmedCrashes = new UnconfirmedCrashes();
+    private final SuspectIsolation isolation = new SuspectIsolation();
+    private final HostPauseDetector pauseDetector = new HostPauseDetector(BootClock.nanos());
+    private final Map<RequestDigest, Set<RelayedRequest>> inFlight = new HashMap<>();
 
     Quarantine(
             EventLoop loop,
@@ -61,32 +65,32 @@
             FleetMetrics metrics,
             Consumer<Frame> toControlHosts) {
         this.dispatcher = dispatcher;
-        this.apart = new SuspectDispatcher(dispatcher, trials);
-        this.lives = new EndedLives(loop, upstreams);
+        this.suspectDispatcher = new SuspectDispatcher(dispatcher, isolation);
+        this.crashProbe = new CrashProbe(loop, upstreams);
         this.metrics = metrics;
         this.toControlHosts = toControlHosts;
     }
 
-    /** Returns how a request stands. */
+    /** Returns the standing of a request. */
     Standing standing(RequestDigest request, long now) {
         return ledger.standing(request, now);
     }
 
-    /** Decides where a suspect goes. */
+    /** Chooses an instance for a suspect. */
     Choice choose(
             RequestDigest request,
             Need need,
             Predicate<UpstreamId> allowed,
             boolean late,
             long now) {
-        return apart.choose(request, need, allowed, late, now);
+        return suspectDispatcher.choose(request, need, allowed, late, now);
     }
 
-    /** Notes that a request is sent to an instance. */
-    void sent(RequestDigest request, Instance instance, RelayedRequest by) {
-        underWay.computeIfAbsent(request, key -> new HashSet<>()).add(by);
+    /** Records that a request is sent to an instance. */
+    void attemptStarted(RequestDigest request, Instance instance, RelayedRequest by) {
+        inFlight.computeIfAbsent(request, key -> new HashSet<>()).add(by);
         if (ledger.standing(request, BootClock.nanos()) instanceof Standing.Suspect suspect) {
-            trials.begin(instance.id(), request);
+            isolation.begin(instance.id(), request);
             logger.info(
                     "request.apart digest={} instance={} crashes={}",
                     request,
@@ -95,71 +99,74 @@
         }
     }
 
-    /** Notes that a request's answer has begun. */
-    void begun(RequestDigest request, UpstreamId instance) {
-        trials.end(instance, request);
+    /** Records that the answer to a request has begun, which ends its isolation. */
+    void answerBegun(RequestDigest request, UpstreamId instance) {
+        isolation.end(instance, request);
     }
 
-    /** Notes that a request has left its instance, however. */
-    void left(RequestDigest request, UpstreamId instance, RelayedRequest by) {
-        trials.end(instance, request);
-        Set<RelayedRequest> copies = underWay.get(request);
+    /** Records that an attempt of a request at an instance has ended, for whatever reason. */
+    void attemptEnded(RequestDigest request, UpstreamId instance, RelayedRequest by) {
+        isolation.end(instance, request);
+        Set<RelayedRequest> copies = inFlight.get(request);
         if (copies != null && copies.remove(by) && copies.isEmpty()) {
-            underWay.remove(request);
+            inFlight.remove(request);
         }
     }
 
-    /** Notes that an instance has run a request to an end, and lives on. */
-    void endedWell(RequestDigest request) {
-        ledger.recordHarmlessEnd(request).ifPresent(this::tell);
+    /** Records that an instance has completed a request without a crash. */
+    void requestCompleted(RequestDigest request) {
+        ledger.recordHarmlessEnd(request).ifPresent(this::publishAcquittal);
     }
 
     /**
-     * Notes that an instance has broken a request off. If it has ended by itself, this is held
-     * against the request, which goes on once that is known.
+     * Records that an instance has interrupted a request. If the instance has crashed, the crash is
+     * attributed to the request, except if this host has paused since it sent the request or if the
+     * instance was expected to end.
      *
-     * @param sentAt when the request was sent, on the process's clock in nanoseconds
+     * @param sentAt when the request was sent, on the monotonic clock in nanoseconds
+     * @param resume continues with the request, once it is known whether the instance has crashed
      */
-    void brokeOff(RequestDigest request, Instance instance, long sentAt, Runnable goOn) {
-        if (pauses.pausedSince(sentAt, BootClock.nanos()) || isExpected(instance)) {
-            goOn.run();
+    void attemptInterrupted(
+            RequestDigest request, Instance instance, long sentAt, Runnable resume) {
+        if (pauseDetector.pausedSince(sentAt, BootClock.nanos()) || isExpectedToEnd(instance)) {
+            resume.run();
             return;
         }
-        lives.ask(
+        crashProbe.check(
                 instance,
-                ended -> {
-                    unexplained.recordInterrupted(instance.id(), request, BootClock.nanos());
-                    if (ended) {
-                        ended(instance.id());
+                crashed -> {
+                    unconfirmedCrashes.recordInterrupted(instance.id(), request, BootClock.nanos());
+                    if (crashed) {
+                        incarnationCrashed(instance.id());
                     } else {
-                        lives.askAgain(instance, () -> ended(instance.id()));
+                        crashProbe.checkLater(instance, () -> incarnationCrashed(instance.id()));
                     }
-                    goOn.run();
+                    resume.run();
                 });
     }
 
     /**
-     * Notes that a request is given up whose instance may run it. The instance may end under it
-     * when no connection is left to see that by.
+     * Records that a request is abandoned while its instance may run it. If the instance crashes
+     * later, there is no connection left on which this host would notice.
      */
-    void abandoned(RequestDigest request, Instance instance) {
-        if (!isExpected(instance)) {
-            unexplained.recordInterrupted(instance.id(), request, BootClock.nanos());
+    void attemptAbandoned(RequestDigest request, Instance instance) {
+        if (!isExpectedToEnd(instance)) {
+            unconfirmedCrashes.recordInterrupted(instance.id(), request, BootClock.nanos());
         }
     }
 
-    /** Takes in that a life of an instance is heard of. */
-    void heardOf(UpstreamId life) {
-        unexplained.confirmedBy(life, BootClock.nanos()).forEach(this::crashed);
+    /** Records the announcement of an incarnation, which confirms crashes of earlier ones. */
+    void instanceAnnounced(UpstreamId incarnation) {
+        unconfirmedCrashes.confirmedBy(incarnation, BootClock.nanos()).forEach(this::recordCrash);
     }
 
-    /** Takes in what a control host tells. */
+    /** Applies the crashes, acquittals and sentences that a control host has sent. */
     void received(CrashNotice notice) {
         long now = BootClock.nanos();
         for (CrashRecord record : notice.getCrashesList()) {
             Crash crash = CrashCodec.decode(record);
             ledger.recordCrash(crash, now);
-            ended(crash.incarnation());
+            incarnationCrashed(crash.incarnation());
         }
         for (AcquittalRecord record : notice.getAcquittalsList()) {
             ledger.applyAcquittal(CrashCodec.decode(record));
@@ -170,51 +177,58 @@
                     .forEach(request -> logger.info("request.sentenced digest={}", request));
             ledger.liftSentences(CrashCodec.decode(notice.getSentenced().getLiftedList()));
         }
-        stopCondemned();
+        abortCondemned();
     }
 
-    /** Returns all that this host knows, for a control host that may know nothing. */
-    Optional<Frame> whole() {
+    /**
+     * Returns a notice of all crashes that this host knows, for a control host that has just
+     * connected and may know none; empty if there are none.
+     */
+    Optional<Frame> fullNotice() {
         List<CrashRecord> all = ledger.crashes().stream().map(CrashCodec::encode).toList();
         return all.isEmpty()
                 ? Optional.empty()
                 : Optional.of(CrashCodec.frame(CrashCodec.notice().addAllCrashes(all)));
     }
 
-    /** Notes that the process runs. */
+    /** Tells the pause detector that the process is running. */
     void tick() {
-        pauses.tick(BootClock.nanos());
+        pauseDetector.tick(BootClock.nanos());
     }
 
-    /** Forgets what no longer counts. */
+    /** Removes entries that are too old to affect any decision. */
     void sweep() {
         ledger.sweep(BootClock.nanos());
-        lives.sweep();
+        crashProbe.sweep();
     }
 
-    /** Brings the measures of the present state up to date. */
-    void measure() {
+    /** Updates the gauges of the current state. */
+    void updateMetrics() {
         metrics.state("suspects", ledger.size());
         metrics.state("refused_requests", ledger.condemned(BootClock.nanos()).size());
     }
 
-    /** What drains, or has said that it ends, ends as planned. */
-    private boolean isExpected(Instance instance) {
+    /**
+     * Returns whether an instance is expected to end: it is no longer ready, since it drains or has
+     * announced that it is leaving, or it is no longer known.
+     */
+    private boolean isExpectedToEnd(Instance instance) {
         return dispatcher
                 .find(instance.id())
                 .filter(known -> known.state() == InstanceState.READY)
                 .isEmpty();
     }
 
-    /** Holds the end of a life against what left it just before. */
-    private void ended(UpstreamId life) {
-        Set<RequestDigest> those = unexplained.takeRequests(life, BootClock.nanos());
-        if (!those.isEmpty()) {
-            crashed(new Crash(life, those));
+    /** Attributes a crash to the requests that were interrupted at the incarnation. */
+    private void incarnationCrashed(UpstreamId incarnation) {
+        Set<RequestDigest> requests =
+                unconfirmedCrashes.takeRequests(incarnation, BootClock.nanos());
+        if (!requests.isEmpty()) {
+            recordCrash(new Crash(incarnation, requests));
         }
     }
 
-    private void crashed(Crash crash) {
+    private void recordCrash(Crash crash) {
         long now = BootClock.nanos();
         if (!ledger.recordCrash(crash, now)) {
             return;
@@ -229,10 +243,10 @@
         }
         toControlHosts.accept(
                 CrashCodec.frame(CrashCodec.notice().addCrashes(CrashCodec.encode(crash))));
-        stopCondemned();
+        abortCondemned();
     }
 
-    private void tell(Acquittal acquittal) {
+    private void publishAcquittal(Acquittal acquittal) {
         logger.info(
                 "request.acquitted digest={} lives={}",
                 acquittal.request(),
@@ -241,13 +255,16 @@
                 CrashCodec.frame(CrashCodec.notice().addAcquittals(CrashCodec.encode(acquittal))));
     }
 
-    /** Copies that are under way when a request is condemned may not have begun to run yet. */
-    private void stopCondemned() {
+    /**
+     * Aborts the copies of condemned requests that are in flight: an instance may not have begun to
+     * run them yet.
+     */
+    private void abortCondemned() {
         long now = BootClock.nanos();
-        for (RequestDigest request : List.copyOf(underWay.keySet())) {
+        for (RequestDigest request : List.copyOf(inFlight.keySet())) {
             if (ledger.standing(request, now) instanceof Standing.Condemned) {
-                Set.copyOf(underWay.getOrDefault(request, Set.of()))
-                        .forEach(RelayedRequest::stopCondemned);
+                Set.copyOf(inFlight.getOrDefault(request, Set.of()))
+                        .forEach(RelayedRequest::abortCondemned);
             }
         }
     }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RelayedRequest.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RelayedRequest.java
@@ -20,7 +20,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** One caller's request from its arrival to its final answer. */
+/** One caller's request from its arrival to its final answer. Used on one event loop. */
 final class RelayedRequest implements AttemptListener {
 
     private final Gateway gateway;
@@ -28,7 +28,7 @@
     private final AnswerWriter answers;
     private final RequestDigest digest;
     private final RequestLog log;
-    private final FinalAnswer last;
+    private final FinalAnswer finalAnswer;
     private final AttemptHistory history = new AttemptHistory();
     private Route route;
     private Need need;
@@ -36,7 +36,7 @@
     private RequestAuthorization rights;
     private long waitingSince;
     private long sentAt;
-    private WaitReason waitsFor = WaitReason.NOTHING;
+    private WaitReason waitReason = WaitReason.NOTHING;
     private Admission admission;
     private boolean ended;
     private final StreamedAnswer stream;
@@ -49,15 +49,16 @@
         this.answers = answers;
         this.digest = request.digest();
         this.log = new RequestLog(gateway, request, digest);
-        this.timer = new RequestTimer(gateway.loop(), this::outOfTime);
+        this.timer = new RequestTimer(gateway.loop(), this::timeOut);
         this.stream = new StreamedAnswer(answers, log);
-        this.last = new FinalAnswer(gateway, request, answers, log, history, stream, this::close);
+        this.finalAnswer =
+                new FinalAnswer(gateway, request, answers, log, history, stream, this::close);
     }
 
-    /** Begins to work on the request, or goes on once the first routes are known. */
+    /** Starts processing the request, or continues with it once the first routes are known. */
     void start() {
         timer.cancel();
-        if (!gateway.knowsRoutes()) {
+        if (!gateway.hasRoutes()) {
             awaitRoutes();
             return;
         }
@@ -65,79 +66,79 @@
         Optional<Route> found = gateway.routes().find(host, request.target());
         if (found.isEmpty()) {
             log.noRoute(host, request.target(), gateway.routes().version());
-            last.finish(HttpResponseStatus.NOT_FOUND, "no route leads here");
+            finalAnswer.fail(HttpResponseStatus.NOT_FOUND, "no route leads here");
             return;
         }
         route = found.get();
-        log.route(route.name());
-        history.allow(route);
+        log.setRoute(route.name());
+        history.applyRoute(route);
         times = RequestDeadlines.of(request, route);
         timer.scheduleAt(times.deadlineAt());
-        rights = new RequestAuthorization(gateway.customers(), request, route, this::tryAgain);
+        rights = new RequestAuthorization(gateway.customers(), request, route, this::reconsider);
         if (rights.evaluate() instanceof Decision.Refused refused) {
-            last.deny(refused);
+            finalAnswer.deny(refused);
             return;
         }
-        log.customer(rights.customer());
-        need = request.need(route.chooseService(gateway.ticket()), rights.rank());
-        last.about(need);
+        log.setCustomer(rights.customer());
+        need = request.need(route.chooseService(gateway.drawTicket()), rights.rank());
+        finalAnswer.setNeed(need);
         admission = newAdmission();
-        gateway.arrived(need);
+        gateway.requestArrived(need);
         waitingSince = BootClock.nanos();
-        if (!tryToSend()) {
-            gateway.waits(this);
+        if (!trySend()) {
+            gateway.addWaiting(this);
         }
     }
 
-    /** Waits for the first routes after this host's start, if they should come in time. */
+    /** Waits for the first routes after this host's start, if they are expected in time. */
     private void awaitRoutes() {
         long now = BootClock.nanos();
         RequestsAwaitingRoutes first = gateway.firstRoutes();
-        if (gateway.closing() || !first.shouldWait(request, now)) {
-            last.refuse("no configuration is known yet", first.retryAfter(now));
+        if (gateway.isClosing() || !first.shouldWait(request, now)) {
+            finalAnswer.refuse("no configuration is known yet", first.retryAfter(now));
             return;
         }
         timer.scheduleAt(first.waitDeadline(request));
         first.add(this);
     }
 
-    /** Returns what the request needs. */
+    /** Returns what the request needs of an instance. */
     Need need() {
         return need;
     }
 
-    /** Returns whether an answer can only be late. */
-    boolean late(long now) {
+    /** Returns whether an answer can no longer meet the route's latency objective. */
+    boolean isLate(long now) {
         return times.isLate(now);
     }
 
-    /** Returns until when an answer is of use, on the monotonic clock in nanoseconds. */
+    /** Returns the deadline of the answer, on the monotonic clock in nanoseconds. */
     long deadlineAt() {
         return times.deadlineAt();
     }
 
     /**
-     * Sends the request if it can be sent now, or refuses it if waiting is of no use.
+     * Sends the request if it can be sent now, or refuses it if waiting is useless.
      *
      * @return whether it no longer waits
      */
-    boolean tryToSend() {
+    boolean trySend() {
         if (ended || attempt != null) {
             return true;
         }
-        if (gateway.closing()) {
-            last.giveUp("this host is about to stop", Duration.ZERO);
+        if (gateway.isClosing()) {
+            finalAnswer.giveUp("this host is about to stop", Duration.ZERO);
             return true;
         }
         Decision right = rights.evaluate();
         if (right instanceof Decision.Refused refused) {
-            last.deny(refused);
+            finalAnswer.deny(refused);
             return true;
         }
         long now = BootClock.nanos();
         Standing standing = gateway.quarantine().standing(digest, now);
-        if (standing instanceof Standing.Condemned(Duration left)) {
-            last.giveUp("instances end under it", left);
+        if (standing instanceof Standing.Condemned(Duration remaining)) {
+            finalAnswer.giveUp("instances end under it", remaining);
             return true;
         }
         Choice choice =
@@ -145,70 +146,72 @@
                         standing,
                         digest,
                         need,
-                        history.allowed(),
+                        history.allowedInstances(),
                         times.remainingObjective(now),
                         now);
-        int ahead = waitsInTurn(choice) ? gateway.waitingBefore(this) : 0;
+        int ahead = isQueued(choice) ? gateway.countWaitingBefore(this) : 0;
         if (choice instanceof Choice.HeldBack held) {
             log.heldBack(held, ahead);
         }
         switch (admission.decide(choice, ahead, now)) {
             case Verdict.Send(Instance instance, String why) -> {
                 if (right instanceof Decision.Pending || !rights.ensureFreshGrant()) {
-                    waitsFor = WaitReason.ALLOWANCE;
+                    waitReason = WaitReason.ALLOWANCE;
                     return false;
                 }
                 send(instance, why);
             }
             case Verdict.GiveUp(String reason, Duration retryAfter) -> {
                 if (choice instanceof Choice.HeldBack held) {
-                    log.turnedBack(held);
+                    log.refusedWhileHeldBack(held);
                 }
-                last.giveUp(reason, gateway.dispatcher().retryAfter(choice, retryAfter, now));
+                finalAnswer.giveUp(
+                        reason, gateway.dispatcher().retryAfter(choice, retryAfter, now));
             }
             case Verdict.WaitForAdapter(Instance instance) -> {
                 gateway.notices().notifyAdapterWanted(instance, need);
-                waitsFor = WaitReason.ADAPTER;
+                waitReason = WaitReason.ADAPTER;
                 return false;
             }
             case Verdict.Wait(WaitReason reason) -> {
-                waitsFor = reason;
+                waitReason = reason;
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean waitsInTurn(Choice choice) {
+    private static boolean isQueued(Choice choice) {
         return choice instanceof Choice.Full || choice instanceof Choice.HeldBack;
     }
 
-    /** Ends a copy of a request that is refused by now, if it may not have begun to run yet. */
-    void stopCondemned() {
+    /** Aborts the request, condemned while in flight, unless its answer has begun. */
+    void abortCondemned() {
         if (!ended && !stream.hasBegun() && attempt != null) {
-            last.finish(HttpResponseStatus.BAD_GATEWAY, "instances end under it; it may have run");
+            finalAnswer.fail(
+                    HttpResponseStatus.BAD_GATEWAY, "instances end under it; it may have run");
         }
     }
 
-    /** Tries again a request that waits. */
-    void tryAgain() {
-        if (tryToSend()) {
-            gateway.waitsNoMore(this);
+    /** Reconsiders the request while it waits: sends it, refuses it or lets it wait on. */
+    void reconsider() {
+        if (trySend()) {
+            gateway.removeWaiting(this);
         }
     }
 
-    /** The caller has closed its connection. */
-    void callerLeft() {
+    /** Called when the caller has closed its connection. */
+    void callerDisconnected() {
         if (!ended) {
-            log.callerLeft(history.sends());
+            log.callerDisconnected(history.sendCount());
             close();
         }
     }
 
-    /** The caller takes more, or cannot take more now. */
-    void writable(boolean yes) {
+    /** Called when the caller's connection becomes writable, or stops being writable. */
+    void writabilityChanged(boolean writable) {
         if (attempt != null) {
-            attempt.reading(yes);
+            attempt.setReading(writable);
         }
     }
 
@@ -218,71 +221,73 @@
 
     private void send(Instance instance, String why) {
         long now = BootClock.nanos();
-        if (history.sends() > 0 && !gateway.mayResend(need.service(), now)) {
-            last.giveUp("too many requests are sent a second time", FinalAnswer.SOON);
+        if (history.sendCount() > 0 && !gateway.tryAcquireRetry(need.service(), now)) {
+            finalAnswer.giveUp(
+                    "too many requests are sent a second time", FinalAnswer.SHORT_RETRY_DELAY);
             return;
         }
         rights.useGrant();
         attempt = new UpstreamAttempt(gateway, instance, need, route.kind(), this);
         double load = gateway.dispatcher().occupancy(instance.id(), now);
-        log.sent(need, instance, history.sends() + 1, why, now - waitingSince, waitsFor, load);
-        long leftMillis = TimeUnit.NANOSECONDS.toMillis(deadlineAt() - now);
+        log.sent(
+                need, instance, history.sendCount() + 1, why, now - waitingSince, waitReason, load);
+        long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineAt() - now);
         sentAt = now;
-        gateway.quarantine().sent(digest, instance, this);
-        attempt.begin(
+        gateway.quarantine().attemptStarted(digest, instance, this);
+        attempt.start(
                 UpstreamRequestFactory.create(
                         request,
                         need,
                         instance,
                         rights.customer(),
                         gateway.customers().keysRequired(),
-                        leftMillis,
+                        remainingMillis,
                         stream.lastEventId()),
                 request.id());
     }
 
-    private void outOfTime() {
+    private void timeOut() {
         if (!ended) {
-            last.outOfTime();
+            finalAnswer.timeOut();
         }
     }
 
     private void close() {
         ended = true;
         timer.cancel();
-        gateway.gone(this);
+        gateway.requestEnded(this);
         if (rights != null) {
             rights.close(history.mayHaveRun() || stream.hasBegun() || attempt != null);
         }
         if (attempt != null) {
             attempt.abandon();
-            gateway.quarantine().abandoned(digest, endAttempt());
+            gateway.quarantine().attemptAbandoned(digest, endAttempt());
         }
     }
 
     private Instance endAttempt() {
         Instance instance = attempt.instance();
         attempt = null;
-        gateway.quarantine().left(digest, instance.id(), this);
+        gateway.quarantine().attemptEnded(digest, instance.id(), this);
         return instance;
     }
 
     @Override
     public void onSending() {
-        history.sent(attempt.instance().id());
+        history.recordSent(attempt.instance().id());
     }
 
     @Override
     public void onEvent(HttpResponse head, EventAssembler.Event event) {
-        gateway.quarantine().begun(digest, attempt.instance().id());
+        gateway.quarantine().answerBegun(digest, attempt.instance().id());
         stream.forwardEvent(head, event);
     }
 
     @Override
     public void onStreamEnd(HttpResponse head, ByteBuf rest) {
-        log.answered(head.status().code(), stream.lastEventId(), history.sends());
+        log.answered(head.status().code(), stream.lastEventId(), history.sendCount());
         endAttempt();
-        gateway.quarantine().endedWell(digest);
+        gateway.quarantine().requestCompleted(digest);
         stream.forwardBytes(head, rest);
         close();
         answers.end();
@@ -291,13 +296,13 @@
     @Override
     public void onAnswer(HttpResponse head, ByteBuf body) {
         Instance instance = endAttempt();
-        if (Answers.saysNotRun(head)) {
-            notRun(instance, head);
+        if (Answers.reportsNotRun(head)) {
+            handleNotRun(instance, head);
             return;
         }
-        log.answered(head.status().code(), stream.lastEventId(), history.sends());
-        gateway.quarantine().endedWell(digest);
-        history.ran();
+        log.answered(head.status().code(), stream.lastEventId(), history.sendCount());
+        gateway.quarantine().requestCompleted(digest);
+        history.recordMayHaveRun();
         boolean failed = head.status().codeClass() == HttpStatusClass.SERVER_ERROR;
         if (failed) {
             gateway.dispatcher().requestFailed(instance.id());
@@ -305,15 +310,15 @@
             gateway.dispatcher().requestSucceeded(instance.id());
         }
         if (stream.hasBegun()) {
-            resume(instance);
-        } else if (failed && mayGoOn()) {
-            goOn(instance, "the instance failed");
-        } else if (Answers.looksLikeRefusal(head.status())) {
-            last.finish(
+            resumeOrFail(instance);
+        } else if (failed && mayContinue()) {
+            tryNextInstance(instance, "the instance failed");
+        } else if (Answers.impliesNotRun(head.status())) {
+            finalAnswer.fail(
                     HttpResponseStatus.BAD_GATEWAY, "the instance gave up, and may have run it");
         } else {
             close();
-            answers.writeAnswer(Answers.whole(head, body));
+            answers.writeAnswer(Answers.full(head, body));
         }
     }
 
@@ -322,70 +327,74 @@
         Instance instance = endAttempt();
         log.attemptFailed(instance, failure.sent(), failure.reason(), stream.lastEventId());
         if (failure.stage() == CallFailure.Stage.WITHDRAWN) {
-            again("the instance wants nothing any more");
+            requeue("the instance wants nothing any more");
             return;
         }
         if (!failure.sent()) {
             gateway.notices().notifyUnreachable(instance, failure.stage());
-            goOn(instance, "the instance cannot be reached");
+            tryNextInstance(instance, "the instance cannot be reached");
             return;
         }
-        history.ran();
-        if (!mayGoOn()) {
-            last.endBroken();
+        history.recordMayHaveRun();
+        if (!mayContinue()) {
+            finalAnswer.failInterrupted();
         }
         gateway.quarantine()
-                .brokeOff(digest, instance, sentAt, () -> goOn(instance, FinalAnswer.BROKE_OFF));
+                .attemptInterrupted(
+                        digest,
+                        instance,
+                        sentAt,
+                        () -> tryNextInstance(instance, FinalAnswer.INTERRUPTED));
     }
 
-    private boolean mayGoOn() {
-        return history.mayGoOn(stream.hasBegun(), stream.lastEventId().isPresent());
+    private boolean mayContinue() {
+        return history.mayContinue(stream.hasBegun(), stream.lastEventId().isPresent());
     }
 
-    private void goOn(Instance instance, String reason) {
+    private void tryNextInstance(Instance instance, String reason) {
         if (!ended) {
-            history.giveUp(instance.id());
-            again(reason);
+            history.exclude(instance.id());
+            requeue(reason);
         }
     }
 
-    private void notRun(Instance instance, HttpResponse head) {
+    private void handleNotRun(Instance instance, HttpResponse head) {
         log.notRun(instance, head.status().code());
-        history.notRun(instance.id());
-        boolean rests = gateway.dispatcher().isResting(instance.id(), BootClock.nanos());
-        if (!rests) {
+        history.recordNotRun(instance.id());
+        boolean resting = gateway.dispatcher().isResting(instance.id(), BootClock.nanos());
+        if (!resting) {
             gateway.dispatcher().requestRejected(instance.id(), need, BootClock.nanos());
         }
-        boolean comes = need.adapter().isPresent() && history.adapterMayCome();
+        boolean retryForAdapter = need.adapter().isPresent() && history.tryAcquireAdapterRetry();
         if (stream.hasBegun()) {
-            resume(instance);
-        } else if (rests) {
-            again("the instance wants rest");
-        } else if (comes) {
-            again("its adapter is on its way");
+            resumeOrFail(instance);
+        } else if (resting) {
+            requeue("the instance wants rest");
+        } else if (retryForAdapter) {
+            requeue("its adapter is on its way");
         } else {
-            goOn(instance, "the instance did not run it");
+            tryNextInstance(instance, "the instance did not run it");
         }
     }
 
-    private void resume(Instance instance) {
-        if (mayGoOn()) {
-            goOn(instance, FinalAnswer.BROKE_OFF);
+    private void resumeOrFail(Instance instance) {
+        if (mayContinue()) {
+            tryNextInstance(instance, FinalAnswer.INTERRUPTED);
         } else {
-            last.endBroken();
+            finalAnswer.failInterrupted();
         }
     }
 
-    private void again(String reason) {
+    private void requeue(String reason) {
         if (BootClock.nanos() - deadlineAt() >= 0) {
-            last.giveUp(reason, FinalAnswer.SOON);
+            finalAnswer.giveUp(reason, FinalAnswer.SHORT_RETRY_DELAY);
             return;
         }
         waitingSince = BootClock.nanos();
-        waitsFor = WaitReason.NOTHING;
+        waitReason = WaitReason.NOTHING;
         admission = newAdmission();
-        if (!tryToSend()) {
-            gateway.waits(this);
+        if (!trySend()) {
+            gateway.addWaiting(this);
         }
     }
 }
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestLog.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RequestLog.java
@@ -18,42 +18,45 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Writes one line for each decision on one request, with what it was decided from. */
+/**
+ * Logs the decisions about one request, each in one line with the values that it was based on, and
+ * counts them in the metrics. A line is left out if its kind has used up its {@link LineBudget}.
+ */
 final class RequestLog {
 
     private static final Logger logger = LogManager.getLogger(RequestLog.class);
 
-    private final LineBudget lines;
+    private final LineBudget lineBudget;
     private final FleetMetrics metrics;
     private final String id;
     private final RequestDigest digest;
     private final long arrivedAt;
     private String route = "none";
     private String customer = "";
-    private long firstMillis = -1;
+    private long firstByteMillis = -1;
     private final Set<WaitReason> heldBackFor = EnumSet.noneOf(WaitReason.class);
 
     RequestLog(Gateway gateway, CallerRequest request, RequestDigest digest) {
-        this.lines = gateway.lines();
+        this.lineBudget = gateway.lineBudget();
         this.metrics = gateway.metrics();
         this.id = request.id();
         this.digest = digest;
         this.arrivedAt = request.arrivedAt();
     }
 
-    /** Notes which route the request takes. */
-    void route(String name) {
+    /** Sets the name of the request's route. */
+    void setRoute(String name) {
         route = name;
     }
 
-    /** Notes whose request it is. */
-    void customer(Optional<Customer> holder) {
+    /** Sets the customer that the request belongs to, if any. */
+    void setCustomer(Optional<Customer> holder) {
         customer = holder.map(one -> one.id().value()).orElse("");
     }
 
     void noRoute(String host, String target, long routesVersion) {
         metrics.requestEnded(route, "no-route");
-        long leftOut = lines.take(LineBudget.Kind.FAILED, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.FAILED, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "request.no-route id={} host={} target={} routesVersion={} leftOut={}",
@@ -65,7 +68,14 @@
         }
     }
 
-    /** It is sent to an instance, which has so many requests by a report of that sequence. */
+    /**
+     * Logs that the request is sent to an instance.
+     *
+     * @param send the number of this send, from 1
+     * @param why the reason for which the dispatcher has chosen the instance
+     * @param load the estimated number of requests that the instance runs or queues; the line also
+     *     names the sequence number of the announcement that it is based on
+     */
     void sent(
             Need need,
             Instance instance,
@@ -75,7 +85,7 @@
             WaitReason waitedFor,
             double load) {
         metrics.reached("send", waitedNanos);
-        long leftOut = lines.take(LineBudget.Kind.SENT, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.SENT, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "request.sent id={} digest={} instance={} service={} model={} adapter={}"
@@ -98,13 +108,16 @@
         }
     }
 
-    /** Notes, once for each reason, that an instance that could run it takes no more now. */
+    /**
+     * Logs, once for each reason, that the request waits because an instance that could run it is
+     * at its limit or at rest.
+     */
     void heldBack(Choice.HeldBack held, int ahead) {
         if (!heldBackFor.add(held.reason())) {
             return;
         }
         countHeldBack(held, "held");
-        long leftOut = lines.take(LineBudget.Kind.ATTEMPT, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.ATTEMPT, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "{} id={} instance={} expectedMs={} ageMs={} leftOut={}",
@@ -117,8 +130,11 @@
         }
     }
 
-    /** Notes that it is about to be refused since such an instance takes no more in time. */
-    void turnedBack(Choice.HeldBack held) {
+    /**
+     * Counts a request that is refused because no instance that is at its limit or at rest can take
+     * it in time.
+     */
+    void refusedWhileHeldBack(Choice.HeldBack held) {
         countHeldBack(held, "refused");
     }
 
@@ -129,9 +145,9 @@
         }
     }
 
-    /** Notes that the answer has begun to come. */
-    void begun() {
-        firstMillis = ageMillis();
+    /** Records that the first bytes of the answer have arrived. */
+    void answerBegun() {
+        firstByteMillis = ageMillis();
         metrics.reached("first", BootClock.nanos() - arrivedAt);
     }
 
@@ -139,7 +155,7 @@
         metrics.requestEnded(route, "answered");
         metrics.customerRequest(customer, "answered");
         metrics.reached("end", BootClock.nanos() - arrivedAt);
-        long leftOut = lines.take(LineBudget.Kind.ANSWERED, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.ANSWERED, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "request.answered id={} status={} lastEvent={} firstMs={} ageMs={} sends={}"
@@ -147,7 +163,7 @@
                     id,
                     status,
                     lastEvent,
-                    firstMillis,
+                    firstByteMillis,
                     ageMillis(),
                     sends,
                     leftOut);
@@ -156,7 +172,7 @@
 
     void notRun(Instance instance, int status) {
         metrics.attemptEnded(instance.service().value(), "not-run");
-        long leftOut = lines.take(LineBudget.Kind.ATTEMPT, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.ATTEMPT, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "attempt.not-run id={} instance={} status={} ageMs={} leftOut={}",
@@ -169,9 +185,9 @@
     }
 
     void attemptFailed(Instance instance, boolean sent, String reason, OptionalLong lastEvent) {
-        String ending = sent ? "broke-off" : "unreached";
-        metrics.attemptEnded(instance.service().value(), ending);
-        long leftOut = lines.take(LineBudget.Kind.ATTEMPT, BootClock.nanos());
+        String outcome = sent ? "broke-off" : "unreached";
+        metrics.attemptEnded(instance.service().value(), outcome);
+        long leftOut = lineBudget.take(LineBudget.Kind.ATTEMPT, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "attempt.failed id={} digest={} instance={} sent={} reason={} lastEvent={}"
@@ -190,7 +206,7 @@
     void refused(Need need, String reason, Duration retryAfter, int sends, long routesVersion) {
         metrics.requestEnded(route, "refused");
         metrics.customerRequest(customer, "refused");
-        long leftOut = lines.take(LineBudget.Kind.FAILED, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.FAILED, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "request.refused id={} digest={} reason={} retryAfterMs={} service={} model={}"
@@ -215,7 +231,7 @@
     void failed(int status, String reason, int sends) {
         metrics.requestEnded(route, "failed");
         metrics.customerRequest(customer, "failed");
-        long leftOut = lines.take(LineBudget.Kind.FAILED, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.FAILED, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "request.failed id={} status={} reason={} ageMs={} sends={} customer={}"
@@ -230,9 +246,9 @@
         }
     }
 
-    void brokenOff(String reason, OptionalLong lastEvent, int sends) {
+    void aborted(String reason, OptionalLong lastEvent, int sends) {
         metrics.requestEnded(route, "broken-off");
-        long leftOut = lines.take(LineBudget.Kind.FAILED, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.FAILED, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "request.broken-off id={} reason={} lastEvent={} ageMs={} sends={} leftOut={}",
@@ -245,9 +261,9 @@
         }
     }
 
-    void callerLeft(int sends) {
+    void callerDisconnected(int sends) {
         metrics.requestEnded(route, "caller-left");
-        long leftOut = lines.take(LineBudget.Kind.LEFT, BootClock.nanos());
+        long leftOut = lineBudget.take(LineBudget.Kind.LEFT, BootClock.nanos());
         if (leftOut >= 0) {
             logger.info(
                     "request.caller-left id={} ageMs={} sends={} leftOut={}",
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/RoutesUpdater.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/RoutesUpdater.java
@@ -93,7 +93,7 @@
                 confirmation.reported(),
                 confirmation.confirmed());
         Either<Finding, RouteTable> decoded = ConfigurationDecoder.decode(heldBody);
-        decoded.peek(gateway::routes)
+        decoded.peek(gateway::setRoutes)
                 .peekLeft(
                         finding ->
                                 logger.error(
@@ -130,7 +130,7 @@
     }
 
     private long activeVersion() {
-        return gateway.knowsRoutes() ? gateway.routes().version() : -1;
+        return gateway.hasRoutes() ? gateway.routes().version() : -1;
     }
 
     private void store(RoutesUpdate update, long now) {
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/StreamedAnswer.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/StreamedAnswer.java
@@ -49,7 +49,7 @@
     void forwardBytes(HttpResponse head, ByteBuf bytes) {
         if (!started) {
             started = true;
-            log.begun();
+            log.answerBegun();
             writer.writeHead(Answers.head(head));
         }
         writer.writePart(bytes);
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamAttempt.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/UpstreamAttempt.java
@@ -17,26 +17,26 @@
 import io.stackhall.server.relay.UpstreamCall;
 import io.stackhall.server.settings.Address;
 
-/** One try of a request at one instance, and the account of it at the dispatcher. */
+/** One attempt to run a request at one instance, which the dispatcher is notified of. */
 final class UpstreamAttempt implements CallListener {
 
     private final Gateway gateway;
     private final Instance instance;
     private final boolean stream;
     private final AttemptListener listener;
-    private final InFlightRequest sending;
-    private final LimitRevision limitKnown;
+    private final InFlightRequest inFlight;
+    private final LimitRevision limitRevision;
     private final EventAssembler events = new EventAssembler();
     private UpstreamCall call;
     private HttpResponse head;
-    private ByteBuf plainBody;
-    private boolean over;
-    private boolean firstSeen;
+    private ByteBuf body;
+    private boolean abandoned;
+    private boolean firstEventSeen;
 
     /**
-     * Creates an attempt that counts as the instance's work from now on.
+     * Creates an attempt, which the dispatcher counts as load of the instance from now on.
      *
-     * @param kind whether an answer with success is an event stream
+     * @param kind whether a successful answer is an event stream
      */
     UpstreamAttempt(
             Gateway gateway,
@@ -48,27 +48,27 @@
         this.instance = instance;
         this.stream = kind == RouteKind.STREAM;
         this.listener = listener;
-        this.sending = gateway.dispatcher().requestSent(instance.id(), need, BootClock.nanos());
-        this.limitKnown = gateway.upstreamLimits().recordSent(instance.id());
+        this.inFlight = gateway.dispatcher().requestSent(instance.id(), need, BootClock.nanos());
+        this.limitRevision = gateway.upstreamLimits().recordSent(instance.id());
     }
 
-    void begin(FullHttpRequest request, String requestId) {
+    void start(FullHttpRequest request, String requestId) {
         call =
                 gateway.upstreams()
                         .send(Address.parse(instance.address()), request, requestId, this);
     }
 
-    /** Ends the attempt, breaking the call off where it is not over. */
+    /** Ends the attempt and cancels its call if that is still in progress. */
     void abandon() {
-        over = true;
-        gateway.dispatcher().requestEnded(sending, BootClock.nanos());
+        abandoned = true;
+        gateway.dispatcher().requestEnded(inFlight, BootClock.nanos());
         if (call != null) {
             call.cancel();
         }
     }
 
     /** Stops or resumes reading the answer. */
-    void reading(boolean wanted) {
+    void setReading(boolean wanted) {
         if (call != null) {
             call.reading(wanted);
         }
@@ -80,19 +80,19 @@
 
     @Override
     public boolean sending() {
-        // What the instance has said since it was chosen counts: a connection may take its time.
-        boolean may = gateway.dispatcher().mayWrite(instance.id(), BootClock.nanos());
-        if (may) {
+        // Checked again: connecting may take time, and the instance may drain or rest by now.
+        boolean mayWrite = gateway.dispatcher().mayWrite(instance.id(), BootClock.nanos());
+        if (mayWrite) {
             listener.onSending();
         }
-        return may;
+        return mayWrite;
     }
 
     @Override
     public void answered(HttpResponse answer) {
         head = answer;
         long now = BootClock.nanos();
-        gateway.upstreamWords().receive(instance.id(), answer, limitKnown);
+        gateway.upstreamAnnouncements().receive(instance.id(), answer, limitRevision);
         AnswerHeaders.load(answer.headers()::get)
                 .ifPresent(
                         load ->
@@ -101,30 +101,30 @@
                                                 instance.id(),
                                                 load.running() + load.waiting(),
                                                 now));
-        boolean good = answer.status().codeClass() == HttpStatusClass.SUCCESS;
-        if (!good) {
-            gateway.dispatcher().errorResponseStarted(sending, !Answers.saysNotRun(answer));
+        boolean success = answer.status().codeClass() == HttpStatusClass.SUCCESS;
+        if (!success) {
+            gateway.dispatcher().errorResponseStarted(inFlight, !Answers.reportsNotRun(answer));
         } else if (!stream) {
-            gateway.dispatcher().responseStarted(sending, now);
+            gateway.dispatcher().responseStarted(inFlight, now);
         }
-        if (!good || !stream) {
-            plainBody = Unpooled.buffer();
+        if (!success || !stream) {
+            body = Unpooled.buffer();
         }
     }
 
     @Override
     public void received(ByteBuf part) {
-        if (plainBody != null) {
-            plainBody.writeBytes(part);
+        if (body != null) {
+            body.writeBytes(part);
             return;
         }
         events.add(part);
         EventAssembler.Event event = events.next();
-        while (event != null && !over) {
-            gateway.dispatcher().responseStarted(sending, BootClock.nanos());
-            if (!firstSeen) {
-                firstSeen = true;
-                gateway.promptRead();
+        while (event != null && !abandoned) {
+            gateway.dispatcher().responseStarted(inFlight, BootClock.nanos());
+            if (!firstEventSeen) {
+                firstEventSeen = true;
+                gateway.promptProcessed();
             }
             listener.onEvent(head, event);
             event = events.next();
@@ -133,9 +133,9 @@
 
     @Override
     public void completed() {
-        gateway.dispatcher().requestEnded(sending, BootClock.nanos());
-        if (plainBody != null) {
-            listener.onAnswer(head, plainBody);
+        gateway.dispatcher().requestEnded(inFlight, BootClock.nanos());
+        if (body != null) {
+            listener.onAnswer(head, body);
         } else {
             gateway.dispatcher().requestSucceeded(instance.id());
             listener.onStreamEnd(head, events.remaining());
@@ -146,9 +146,9 @@
     public void failed(CallFailure failure) {
         long now = BootClock.nanos();
         if (failure.sent()) {
-            gateway.dispatcher().requestEnded(sending, now);
+            gateway.dispatcher().requestEnded(inFlight, now);
         } else {
-            gateway.dispatcher().requestNotWritten(sending, now);
+            gateway.dispatcher().requestNotWritten(inFlight, now);
         }
         if (failure.stage() != CallFailure.Stage.WITHDRAWN) {
             gateway.dispatcher().connectionFailed(instance.id(), now);
--- a/stackhall-server/src/main/java/io/stackhall/server/gateway/WaitingRequests.java
+++ b/stackhall-server/src/main/java/io/stackhall/server/gateway/WaitingRequests.java
@@ -63,7 +63,7 @@
     }
 
     private static Comparator<RelayedRequest> servingOrder(long now) {
-        return Comparator.comparing((RelayedRequest request) -> request.late(now))
+        return Comparator.comparing((RelayedRequest request) -> request.isLate(now))
                 .thenComparingInt(request -> request.need().rank())
                 .thenComparingLong(RelayedRequest::deadlineAt);
     }
@@ -80,7 +80,7 @@
             inOrder.sort(servingOrder(BootClock.nanos()));
             for (RelayedRequest request : inOrder) {
                 if (requests.contains(request)) {
-                    request.tryAgain();
+                    request.reconsider();
                 }
             }
         } finally {
