--- a/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCoordinator.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementCoordinator.java
@@ -279,10 +279,10 @@
         decisionRequested = false;
         nextDecision = now + settings.decideEvery().toNanos();
         dropStaleProposals(now);
-        List<PlacementView.Engine> seats =
-                views.seats(reports.values(), state, busy(state), configuration, now);
-        List<PlacementView.DeployedArtifact> wants =
-                PlacementViewBuilder.wants(
+        List<PlacementView.Engine> engines =
+                views.engines(reports.values(), state, busy(state), configuration, now);
+        List<PlacementView.DeployedArtifact> deployed =
+                PlacementViewBuilder.deployed(
                         configuration.deployment(),
                         demand,
                         model -> demand.waiting(model, now),
@@ -290,21 +290,22 @@
                         residentModels(),
                         now);
         int allowed = storeLimiter.availableLoads(runningLoads(state), now);
-        for (PlacementAction move : policy.decide(new PlacementView(seats, wants, allowed, now))) {
-            apply(move, wants, state, now);
+        for (PlacementAction action :
+                policy.decide(new PlacementView(engines, deployed, allowed, now))) {
+            apply(action, deployed, state, now);
         }
-        shadow.ifPresent(of -> of.decide(seats, configuration.deployment(), demand, now));
+        shadow.ifPresent(of -> of.decide(engines, configuration.deployment(), demand, now));
     }
 
     private void apply(
-            PlacementAction move,
-            List<PlacementView.DeployedArtifact> wants,
+            PlacementAction action,
+            List<PlacementView.DeployedArtifact> deployed,
             OrderLedger.State state,
             long now) {
-        Announcement report = reports.get(move.upstream().value());
-        switch (move) {
+        Announcement report = reports.get(action.upstream().value());
+        switch (action) {
             case PlacementAction.Load load -> {
-                long memoryMib = memoryOf(load.artifact(), wants);
+                long memoryMib = memoryOf(load.artifact(), deployed);
                 if (MemoryAccount.of(report, state).admits(memoryMib)) {
                     updateCounts(PlacementCounts::withLoad);
                     storeLimiter.recordLoad();
@@ -379,9 +380,9 @@
         return (int) state.open().stream().filter(order -> order.kind() == Order.Kind.LOAD).count();
     }
 
-    private static long memoryOf(Artifact artifact, List<PlacementView.DeployedArtifact> wants) {
-        return wants.stream()
-                .filter(want -> want.artifact().equals(artifact))
+    private static long memoryOf(Artifact artifact, List<PlacementView.DeployedArtifact> deployed) {
+        return deployed.stream()
+                .filter(deployedArtifact -> deployedArtifact.artifact().equals(artifact))
                 .mapToLong(PlacementView.DeployedArtifact::memoryMib)
                 .findFirst()
                 .orElseThrow(() -> new IllegalArgumentException(artifact + " is not deployed"));
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementViewBuilder.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/PlacementViewBuilder.java
@@ -48,23 +48,23 @@
         return residentSince.getOrDefault(upstream, Map.of()).getOrDefault(artifact, otherwise);
     }
 
-    List<PlacementView.Engine> seats(
+    List<PlacementView.Engine> engines(
             Collection<Announcement> reports,
             OrderLedger.State orders,
             Map<UpstreamId, Optional<Artifact>> busy,
             Configuration configuration,
             long now) {
-        List<PlacementView.Engine> seats = new ArrayList<>();
+        List<PlacementView.Engine> engines = new ArrayList<>();
         for (Announcement report : reports) {
             boolean leaving = report.leaving() || configuration.draining().contains(report.id());
             if (report.engine() && !leaving) {
-                seats.add(seat(report, orders, busy, now));
+                engines.add(engine(report, orders, busy, now));
             }
         }
-        return seats;
+        return engines;
     }
 
-    static List<PlacementView.DeployedArtifact> wants(
+    static List<PlacementView.DeployedArtifact> deployed(
             Deployment deployment,
             DemandTracker demand,
             ToIntFunction<ModelId> waiting,
@@ -73,7 +73,7 @@
             long now) {
         Map<ModelId, Integer> forBase = new HashMap<>();
         Map<ModelId, Double> rateForBase = new HashMap<>();
-        List<PlacementView.DeployedArtifact> wants = new ArrayList<>();
+        List<PlacementView.DeployedArtifact> deployed = new ArrayList<>();
         for (AdapterSpec adapter : deployment.adapters()) {
             int count = waiting.applyAsInt(adapter.id());
             rateForBase.merge(adapter.base(), demand.ratePerSecond(adapter.id(), now), Double::sum);
@@ -82,7 +82,7 @@
             }
         }
         for (ModelSpec model : deployment.models()) {
-            wants.add(
+            deployed.add(
                     new PlacementView.DeployedArtifact(
                             new Artifact(model.id(), model.version()),
                             model.memoryMib(),
@@ -98,18 +98,18 @@
                 .adapters()
                 .forEach(
                         adapter ->
-                                wants.add(
-                                        want(
+                                deployed.add(
+                                        deployedArtifact(
                                                 deployment,
                                                 adapter,
                                                 demand,
                                                 waiting,
                                                 starvation,
                                                 now)));
-        return wants;
+        return deployed;
     }
 
-    private PlacementView.Engine seat(
+    private PlacementView.Engine engine(
             Announcement report,
             OrderLedger.State orders,
             Map<UpstreamId, Optional<Artifact>> busy,
@@ -131,7 +131,7 @@
                 busy.getOrDefault(report.id(), Optional.empty()));
     }
 
-    private static PlacementView.DeployedArtifact want(
+    private static PlacementView.DeployedArtifact deployedArtifact(
             Deployment deployment,
             AdapterSpec adapter,
             DemandTracker demand,
--- a/stackhall-core/src/main/java/io/stackhall/core/placement/ShadowPlacement.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/placement/ShadowPlacement.java
@@ -46,7 +46,7 @@
     private record Placement(UpstreamId upstream, Artifact artifact) {}
 
     private record Loading(
-            UpstreamId upstream, PlacementView.DeployedArtifact want, long readyAt) {}
+            UpstreamId upstream, PlacementView.DeployedArtifact deployed, long readyAt) {}
 
     PolicyName policy() {
         return switch (policy) {
@@ -81,10 +81,10 @@
             long now) {
         storeLimiter.setLimits(deployment.weightStore());
         finishLoads(now);
-        List<PlacementView.Engine> seats = new ArrayList<>();
-        real.forEach(seat -> seats.add(shadowOf(seat)));
-        List<PlacementView.DeployedArtifact> wants =
-                PlacementViewBuilder.wants(
+        List<PlacementView.Engine> engines = new ArrayList<>();
+        real.forEach(engine -> engines.add(shadowOf(engine)));
+        List<PlacementView.DeployedArtifact> deployed =
+                PlacementViewBuilder.deployed(
                         deployment,
                         demand,
                         model -> waiting.getOrDefault(model, 0),
@@ -92,36 +92,42 @@
                         residentModels(),
                         now);
         int allowed = storeLimiter.availableLoads(loading.size(), now);
-        PlacementView view = new PlacementView(seats, wants, allowed, now);
-        policy.decide(view).forEach(move -> apply(move, wants, now));
+        PlacementView view = new PlacementView(engines, deployed, allowed, now);
+        policy.decide(view).forEach(action -> apply(action, deployed, now));
     }
 
-    private void apply(PlacementAction move, List<PlacementView.DeployedArtifact> wants, long now) {
-        switch (move) {
+    private void apply(
+            PlacementAction action, List<PlacementView.DeployedArtifact> deployed, long now) {
+        switch (action) {
             case PlacementAction.Load(UpstreamId upstream, Artifact artifact, boolean urgent) -> {
                 if (!urgent) {
                     speculative.add(new Placement(upstream, artifact));
                 }
                 counts = counts.withLoad();
                 storeLimiter.recordLoad();
-                wants.stream()
-                        .filter(want -> want.artifact().equals(artifact))
+                deployed.stream()
+                        .filter(deployedArtifact -> deployedArtifact.artifact().equals(artifact))
                         .findFirst()
                         .ifPresent(
-                                want -> loading.add(new Loading(upstream, want, now + LOAD_NANOS)));
+                                deployedArtifact ->
+                                        loading.add(
+                                                new Loading(
+                                                        upstream,
+                                                        deployedArtifact,
+                                                        now + LOAD_NANOS)));
             }
             case PlacementAction.Unload(UpstreamId upstream, Artifact artifact) ->
-                    unload(upstream, artifact, wants);
+                    unload(upstream, artifact, deployed);
         }
     }
 
     private void unload(
-            UpstreamId upstream, Artifact artifact, List<PlacementView.DeployedArtifact> wants) {
+            UpstreamId upstream, Artifact artifact, List<PlacementView.DeployedArtifact> deployed) {
         List<PlacementView.ResidentArtifact> on = held.get(upstream);
         boolean unused =
                 on.stream()
                         .filter(item -> item.artifact().equals(artifact))
-                        .anyMatch(item -> unusedSince(item, wants));
+                        .anyMatch(item -> unusedSince(item, deployed));
         on.removeIf(item -> item.artifact().equals(artifact));
         if (speculative.remove(new Placement(upstream, artifact)) && unused) {
             counts = counts.withNeedlessLoad();
@@ -129,43 +135,43 @@
     }
 
     private static boolean unusedSince(
-            PlacementView.ResidentArtifact item, List<PlacementView.DeployedArtifact> wants) {
-        return wants.stream()
-                .filter(want -> want.artifact().id().equals(item.artifact().id()))
-                .anyMatch(want -> want.lastUsed() < item.since());
+            PlacementView.ResidentArtifact item, List<PlacementView.DeployedArtifact> deployed) {
+        return deployed.stream()
+                .filter(artifact -> artifact.artifact().id().equals(item.artifact().id()))
+                .anyMatch(artifact -> artifact.lastUsed() < item.since());
     }
 
     private void finishLoads(long now) {
         for (Loading item : List.copyOf(loading)) {
             if (now - item.readyAt() >= 0) {
                 loading.remove(item);
-                waiting.remove(item.want().artifact().id());
+                waiting.remove(item.deployed().artifact().id());
                 held.computeIfAbsent(item.upstream(), key -> new ArrayList<>())
                         .add(
                                 new PlacementView.ResidentArtifact(
-                                        item.want().artifact(),
-                                        item.want().memoryMib(),
+                                        item.deployed().artifact(),
+                                        item.deployed().memoryMib(),
                                         item.readyAt() - LOAD_NANOS));
             }
         }
     }
 
-    private PlacementView.Engine shadowOf(PlacementView.Engine seat) {
+    private PlacementView.Engine shadowOf(PlacementView.Engine engine) {
         List<PlacementView.ResidentArtifact> on =
-                held.computeIfAbsent(seat.upstream(), key -> new ArrayList<>(seat.resident()));
-        long total = seat.freeMib() + sum(seat.resident());
+                held.computeIfAbsent(engine.upstream(), key -> new ArrayList<>(engine.resident()));
+        long total = engine.freeMib() + sum(engine.resident());
         Optional<Loading> incoming =
                 loading.stream()
-                        .filter(item -> item.upstream().equals(seat.upstream()))
+                        .filter(item -> item.upstream().equals(engine.upstream()))
                         .findFirst();
-        long incomingMib = incoming.map(item -> item.want().memoryMib()).orElse(0L);
+        long incomingMib = incoming.map(item -> item.deployed().memoryMib()).orElse(0L);
         return new PlacementView.Engine(
-                seat.upstream(),
+                engine.upstream(),
                 total - sum(on) - incomingMib,
-                seat.slots(),
+                engine.slots(),
                 on,
                 incoming.isPresent(),
-                incoming.map(item -> item.want().artifact()));
+                incoming.map(item -> item.deployed().artifact()));
     }
 
     private Set<ModelId> residentModels() {
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/EngineViewBuilder.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/EngineViewBuilder.java
@@ -50,16 +50,16 @@
      * @param saturatingRate the request rate per second that saturates one engine
      */
     PlacementView view(ModelDemand demand, int storeLoads, double saturatingRate, long now) {
-        List<PlacementView.Engine> seats = new ArrayList<>();
-        engines.forEach(engine -> seats.add(seat(engine)));
-        List<PlacementView.DeployedArtifact> wants = new ArrayList<>();
+        List<PlacementView.Engine> engineViews = new ArrayList<>();
+        engines.forEach(engine -> engineViews.add(engineView(engine)));
+        List<PlacementView.DeployedArtifact> deployed = new ArrayList<>();
         for (ModelWeights weights : spec.models().values()) {
-            wants.add(want(weights, seats, demand, now));
+            deployed.add(deployedArtifact(weights, engineViews, demand, now));
         }
-        return new PlacementView(seats, wants, storeLoads, saturatingRate, now);
+        return new PlacementView(engineViews, deployed, storeLoads, saturatingRate, now);
     }
 
-    private PlacementView.Engine seat(EngineTracker engine) {
+    private PlacementView.Engine engineView(EngineTracker engine) {
         Instance instance = engine.instance();
         List<PlacementView.ResidentArtifact> held = new ArrayList<>();
         for (ModelCopy copy : engine.models()) {
@@ -92,10 +92,13 @@
                 Optional.of(instance.zone()));
     }
 
-    private static PlacementView.DeployedArtifact want(
-            ModelWeights weights, List<PlacementView.Engine> seats, ModelDemand demand, long now) {
+    private static PlacementView.DeployedArtifact deployedArtifact(
+            ModelWeights weights,
+            List<PlacementView.Engine> engineViews,
+            ModelDemand demand,
+            long now) {
         ModelId model = weights.model();
-        boolean resident = seats.stream().anyMatch(seat -> seat.holds(model));
+        boolean resident = engineViews.stream().anyMatch(engine -> engine.holds(model));
         return new PlacementView.DeployedArtifact(
                 artifact(model),
                 (long) Math.ceil(weights.weightsMb()),
--- a/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyManager.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/residency/ResidencyManager.java
@@ -295,7 +295,8 @@
                         storeLimiter.availableLoads(now),
                         engineCapacity.requestsPerSecond(),
                         now);
-        boolean nothingWaiting = view.deployed().stream().allMatch(want -> want.waiting() == 0);
+        boolean nothingWaiting =
+                view.deployed().stream().allMatch(deployed -> deployed.waiting() == 0);
         if (discovering && nothingWaiting) {
             return;
         }
--- a/stackhall-core/src/test/java/io/stackhall/core/dispatch/LimitedDispatchTest.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/dispatch/LimitedDispatchTest.java
@@ -84,10 +84,10 @@
         dispatcher.updateInstance(instance("bb", 1, "other"));
         Choice choice = choice();
         assertThat(choice).isInstanceOf(Choice.Limited.class);
-        PermitRequest want = limits.dueRequests(NOW).getFirst();
-        assertThat(want.exclusive()).isEqualTo(1);
+        PermitRequest request = limits.dueRequests(NOW).getFirst();
+        assertThat(request.exclusive()).isEqualTo(1);
         limits.receiveAnswer(
-                new PermitAnswer(HOST, LIMITED, want.requestedAt(), true, PermitWaits.unknown()),
+                new PermitAnswer(HOST, LIMITED, request.requestedAt(), true, PermitWaits.unknown()),
                 NOW);
         assertThat(choice()).isInstanceOf(Choice.Send.class);
         dispatcher.requestSent(LIMITED, NEED, NOW);
@@ -157,11 +157,11 @@
     }
 
     private void denyPermitFor(Duration first) {
-        PermitRequest want = limits.dueRequests(NOW).getFirst();
+        PermitRequest request = limits.dueRequests(NOW).getFirst();
         PermitWaits waits =
                 new PermitWaits(List.of(first), first.plusSeconds(1), Duration.ofSeconds(1));
         limits.receiveAnswer(
-                new PermitAnswer(HOST, LIMITED, want.requestedAt(), false, waits), NOW);
+                new PermitAnswer(HOST, LIMITED, request.requestedAt(), false, waits), NOW);
     }
 
     private Choice choice() {
--- a/stackhall-core/src/test/java/io/stackhall/core/limit/RetryingHostsSimulation.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/limit/RetryingHostsSimulation.java
@@ -27,7 +27,7 @@
     private static final long DELAY = Duration.ofMillis(3).toNanos();
 
     private final Random random;
-    private final AllowanceManager keeper = new AllowanceManager();
+    private final AllowanceManager manager = new AllowanceManager();
     private final PriorityQueue<Attempt> attempts =
             new PriorityQueue<>(Comparator.comparingLong(Attempt::at));
     private final List<Long> arrivals = new ArrayList<>();
@@ -40,7 +40,7 @@
         random = new Random(seed);
         CustomerLimit rate = new CustomerLimit(CustomerLimit.Unit.REQUESTS, limit, 1, 1);
         Customer one = new Customer(ID, Set.of(), OptionalInt.empty(), Optional.of(rate));
-        keeper.configure(new Customers(List.of(one)), 0);
+        manager.configure(new Customers(List.of(one)), 0);
     }
 
     /**
@@ -59,7 +59,7 @@
     }
 
     private void attempt(Attempt ask) {
-        switch (keeper.take(ID, 1, ask.at())) {
+        switch (manager.take(ID, 1, ask.at())) {
             case AllowanceVerdict.Granted() -> arrivals.add(ask.at() + 2 * DELAY);
             case AllowanceVerdict.Denied(Duration after) -> {
                 long again = ask.at() + 2 * DELAY + after.toNanos();
--- a/stackhall-core/src/test/java/io/stackhall/core/replication/RoutesAfterRestartProperties.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/replication/RoutesAfterRestartProperties.java
@@ -43,7 +43,8 @@
 
     /** One incarnation of an entry host. */
     private static final class EntryHost {
-        private final RoutesConfirmation trust = new RoutesConfirmation(CONFIRMATION_TIMEOUT);
+        private final RoutesConfirmation confirmation =
+                new RoutesConfirmation(CONFIRMATION_TIMEOUT);
         private final long acknowledgedBefore;
         private final String primary;
         private long inForce = NONE;
@@ -149,25 +150,27 @@
                     continue;
                 }
                 long latest = newest(control.applied);
-                entry.trust.reported(latest, now);
+                entry.confirmation.reported(latest, now);
                 boolean sendsConfiguration = name.equals(entry.primary) || name.equals(queriedHost);
-                if (sendsConfiguration && latest > entry.trust.held()) {
-                    entry.trust.received(latest, now);
+                if (sendsConfiguration && latest > entry.confirmation.held()) {
+                    entry.confirmation.received(latest, now);
                 }
             }
-            if (!entry.trust.isConfirmed()) {
+            if (!entry.confirmation.isConfirmed()) {
                 group.leader()
-                        .ifPresent(leader -> entry.trust.confirmed(newest(leader.applied), now));
+                        .ifPresent(
+                                leader ->
+                                        entry.confirmation.confirmed(newest(leader.applied), now));
             }
             applyIfAllowed(entry, now);
         }
 
         private void applyIfAllowed(EntryHost entry, long now) {
-            if (!entry.trust.mayActivate(entry.inForce, now)) {
+            if (!entry.confirmation.mayActivate(entry.inForce, now)) {
                 return;
             }
-            entry.inForce = entry.trust.held();
-            if (entry.trust.isConfirmed()) {
+            entry.inForce = entry.confirmation.held();
+            if (entry.confirmation.isConfirmed()) {
                 assertThat(entry.inForce).isGreaterThanOrEqualTo(entry.acknowledgedBefore);
             }
         }
--- a/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplay.java
+++ b/stackhall-core/src/test/java/io/stackhall/core/residency/PlacementReplay.java
@@ -267,13 +267,13 @@
                 });
         demand.recordReport(HOST, Map.copyOf(arrivals), waitingCounts, nanos(now));
         arrivals.clear();
-        for (PlacementAction move : policy.decide(view(now))) {
+        for (PlacementAction action : policy.decide(view(now))) {
             ReplayEngine engine =
                     engines.stream()
-                            .filter(each -> each.id.equals(move.upstream()))
+                            .filter(each -> each.id.equals(action.upstream()))
                             .findFirst()
                             .orElseThrow();
-            switch (move) {
+            switch (action) {
                 case PlacementAction.Unload unload -> {
                     engine.held.remove(unload.artifact().id());
                     engine.orderEnds = now + UNLOAD;
@@ -290,7 +290,7 @@
     }
 
     private PlacementView view(long now) {
-        List<PlacementView.Engine> seats = new ArrayList<>();
+        List<PlacementView.Engine> engineViews = new ArrayList<>();
         for (ReplayEngine engine : engines) {
             if (engine.limited() && limitedLeftOut) {
                 continue;
@@ -308,7 +308,7 @@
                     model -> localLoad.put(model, Duration.ofMillis(ReplayEngine.FROM_MEMORY)));
             boolean busy = engine.orderEnds > now || !engine.nextLoads.isEmpty();
             long free = (MODEL_SLOTS - held.size() - (engine.loading.isPresent() ? 1 : 0)) * 100L;
-            seats.add(
+            engineViews.add(
                     new PlacementView.Engine(
                             engine.id,
                             free,
@@ -319,14 +319,18 @@
                             localLoad,
                             Optional.of(engine.zone)));
         }
-        List<PlacementView.DeployedArtifact> wants = new ArrayList<>();
-        models.forEach(model -> wants.add(want(model, now)));
+        List<PlacementView.DeployedArtifact> deployed = new ArrayList<>();
+        models.forEach(model -> deployed.add(deployedArtifact(model, now)));
         int storeLoadsNow = (int) engines.stream().filter(engine -> engine.fromStore).count();
         return new PlacementView(
-                seats, wants, STORE_LOADS_AT_ONCE - storeLoadsNow, 1000.0 / PROMPT, nanos(now));
+                engineViews,
+                deployed,
+                STORE_LOADS_AT_ONCE - storeLoadsNow,
+                1000.0 / PROMPT,
+                nanos(now));
     }
 
-    private PlacementView.DeployedArtifact want(Model model, long now) {
+    private PlacementView.DeployedArtifact deployedArtifact(Model model, long now) {
         boolean resident = engines.stream().anyMatch(one -> one.held.containsKey(model.id()));
         double asked = demand.ratePerSecond(model.id(), nanos(now));
         long nearest =
