--- a/stackhall-core/src/main/java/io/stackhall/core/membership/Announcement.java
+++ b/stackhall-core/src/main/java/io/stackhall/core/membership/Announcement.java
@@ -102,8 +102,8 @@
     /**
      * An upstream's state for fencing placement orders.
      *
-     * @param checked whether it refuses an order with an outdated fencing token
-     * @param highest the highest fencing token seen
+     * @param checked whether it refuses an order with an outdated fencing number
+     * @param highest the highest fencing number seen
      */
     public record Fencing(boolean checked, long highest) {}
 
